--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/RightsHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantHolder.java
@@ -4,9 +4,6 @@
 import io.coppershelf.floor.internal.FloorAction.Refused;
 import io.coppershelf.floor.internal.FloorAction.Revoked;
 import io.coppershelf.floor.internal.FloorAction.Send;
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightReply;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -17,8 +14,8 @@
 import java.util.stream.Stream;
 
 /** The rights that one VM holds and asks for, over all services. */
-public final class RightsHolder {
-    private final Map<Key, HeldRight> rights = new TreeMap<>();
+public final class GrantHolder {
+    private final Map<Key, HeldGrant> rights = new TreeMap<>();
     private final Map<String, String> granters = new HashMap<>();
     private final Map<String, ServiceRules> rules = new HashMap<>();
     private long lastSequence;
@@ -28,7 +25,7 @@
      *
      * @param incarnation the start of this VM, so that its sequence numbers are above those of earlier starts
      */
-    public RightsHolder(long incarnation) {
+    public GrantHolder(long incarnation) {
         this.lastSequence = incarnation << 20;
     }
 
@@ -36,8 +33,8 @@
     public List<FloorAction> request(
             String service, String server, VoterSet voters, ServiceRules inForce, long nowNanos) {
         rules.put(service, inForce);
-        HeldRight right =
-                rights.computeIfAbsent(new Key(service, server), key -> new HeldRight(service, server, nowNanos));
+        HeldGrant right =
+                rights.computeIfAbsent(new Key(service, server), key -> new HeldGrant(service, server, nowNanos));
         right.markRequested(nowNanos);
         if (right.isAwaitingReply() || (right.isLive(nowNanos) && !right.isRenewalDue(nowNanos))) {
             return List.of();
@@ -48,13 +45,13 @@
 
     /** Gives a right back. */
     public List<FloorAction> release(String service, String server, VoterSet voters) {
-        HeldRight right = rights.remove(new Key(service, server));
+        HeldGrant right = rights.remove(new Key(service, server));
         return right == null ? List.of() : releaseActions(right, voters);
     }
 
     /** Takes in an answer. */
-    public List<FloorAction> onReply(String sender, RightReply reply, long nowNanos) {
-        HeldRight right = rights.get(new Key(reply.service(), reply.server()));
+    public List<FloorAction> onReply(String sender, FloorMessage.GrantReply reply, long nowNanos) {
+        HeldGrant right = rights.get(new Key(reply.service(), reply.server()));
         if (right == null || !right.isAwaitedReply(reply.sequence())) {
             return List.of();
         }
@@ -71,7 +68,7 @@
 
     /** Ends a right early. */
     public List<FloorAction> onRevoked(String service, String server, VoterSet voters) {
-        HeldRight right = rights.remove(new Key(service, server));
+        HeldGrant right = rights.remove(new Key(service, server));
         if (right == null) {
             return List.of();
         }
@@ -95,7 +92,7 @@
     /** Renews what is wanted, tries the next VM where an answer is overdue, and ends what has lapsed. */
     public List<FloorAction> onTick(Function<String, VoterSet> voters, long nowNanos) {
         List<FloorAction> actions = new ArrayList<>();
-        for (HeldRight right : List.copyOf(rights.values())) {
+        for (HeldGrant right : List.copyOf(rights.values())) {
             actions.addAll(onTick(right, voters, nowNanos));
         }
         return actions;
@@ -103,7 +100,7 @@
 
     /** Returns whether the right to eject the server is live. */
     public boolean isLive(String service, String server, long nowNanos) {
-        HeldRight right = rights.get(new Key(service, server));
+        HeldGrant right = rights.get(new Key(service, server));
         return right != null && right.isLive(nowNanos);
     }
 
@@ -117,7 +114,7 @@
         return Optional.ofNullable(granters.get(service));
     }
 
-    private List<FloorAction> onTick(HeldRight right, Function<String, VoterSet> voters, long nowNanos) {
+    private List<FloorAction> onTick(HeldGrant right, Function<String, VoterSet> voters, long nowNanos) {
         if (right.isExpired(nowNanos)) {
             rights.remove(new Key(right.service(), right.server()));
             return List.of(new Revoked(right.service(), right.server()));
@@ -133,13 +130,13 @@
         return List.of();
     }
 
-    private List<FloorAction> askNext(HeldRight right, long nowNanos) {
+    private List<FloorAction> askNext(HeldGrant right, long nowNanos) {
         Optional<String> target = right.nextTarget(++lastSequence, nowNanos);
         if (target.isEmpty()) {
             return refuseUnlessLive(right, nowNanos);
         }
         ServiceRules known = rules.get(right.service());
-        RightRequest request = new RightRequest(
+        FloorMessage.GrantRequest request = new FloorMessage.GrantRequest(
                 right.service(),
                 right.server(),
                 right.sequence(),
@@ -149,7 +146,7 @@
         return List.of(new Send(target.get(), request));
     }
 
-    private List<FloorAction> onGranted(String sender, HeldRight right, long nowNanos) {
+    private List<FloorAction> onGranted(String sender, HeldGrant right, long nowNanos) {
         granters.put(right.service(), sender);
         if (!right.onGranted(nowNanos)) {
             return refuseUnlessLive(right, nowNanos);
@@ -157,7 +154,7 @@
         return List.of(new Granted(right.service(), right.server(), right.untilNanos()));
     }
 
-    private List<FloorAction> onRefused(String sender, HeldRight right, long nowNanos) {
+    private List<FloorAction> onRefused(String sender, HeldGrant right, long nowNanos) {
         granters.put(right.service(), sender);
         rights.remove(new Key(right.service(), right.server()));
         boolean live = right.isLive(nowNanos);
@@ -165,7 +162,7 @@
                 live ? new Revoked(right.service(), right.server()) : new Refused(right.service(), right.server()));
     }
 
-    private List<FloorAction> refuseUnlessLive(HeldRight right, long nowNanos) {
+    private List<FloorAction> refuseUnlessLive(HeldGrant right, long nowNanos) {
         right.finishRequest();
         if (right.isLive(nowNanos)) {
             return List.of();
@@ -176,7 +173,7 @@
 
     private List<FloorAction> revokeAll(String service, VoterSet voters) {
         List<FloorAction> actions = new ArrayList<>();
-        for (HeldRight right : List.copyOf(rights.values())) {
+        for (HeldGrant right : List.copyOf(rights.values())) {
             if (right.service().equals(service)) {
                 actions.addAll(onRevoked(service, right.server(), voters));
             }
@@ -184,8 +181,9 @@
         return actions;
     }
 
-    private List<FloorAction> releaseActions(HeldRight right, VoterSet voters) {
-        RightRelease release = new RightRelease(right.service(), right.server(), right.sequence());
+    private List<FloorAction> releaseActions(HeldGrant right, VoterSet voters) {
+        FloorMessage.GrantRelease release =
+                new FloorMessage.GrantRelease(right.service(), right.server(), right.sequence());
         return candidates(right.service(), voters).stream()
                 .<FloorAction>map(target -> new Send(target, release))
                 .toList();
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantLedger.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantTable.java
@@ -1,7 +1,5 @@
 package io.coppershelf.floor.internal;
 
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -13,7 +11,7 @@
  * The rights that a granter has given for one service, and the servers that it knows to be out of service for another
  * reason. It counts each right from receipt of the request and longer than the holder does.
  */
-public final class GrantLedger {
+public final class GrantTable {
     private final Map<Grant, Entry> grants = new HashMap<>();
     private final Map<String, Report> reports = new HashMap<>();
 
@@ -33,7 +31,8 @@
      * @param allowance the number of servers that may be out of service
      * @return whether it fits
      */
-    public boolean tryGrant(String holder, RightRequest request, Set<String> draining, int allowance, long nowNanos) {
+    public boolean tryGrant(
+            String holder, FloorMessage.GrantRequest request, Set<String> draining, int allowance, long nowNanos) {
         Set<String> out = outOfService(draining, nowNanos);
         out.add(request.server());
         if (out.size() > allowance) {
@@ -48,7 +47,7 @@
     }
 
     /** Stops counting a right that its holder gave back, unless the holder has asked again since. */
-    public void release(String holder, RightRelease release) {
+    public void release(String holder, FloorMessage.GrantRelease release) {
         grants.computeIfPresent(
                 new Grant(release.server(), holder),
                 (grant, entry) -> entry.sequence() <= release.sequence() ? null : entry);
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
@@ -1,15 +1,11 @@
 package io.coppershelf.floor.internal;
 
-import io.coppershelf.floor.internal.FloorMessage.OutReport;
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
-import io.coppershelf.floor.internal.FloorMessage.Verdict;
 import java.util.List;
 
 /** One VM as granter, or as one that may become it, of the rights of one service. */
 public final class Granter {
     private final GranterLease lease = new GranterLease();
-    private final GrantLedger ledger = new GrantLedger();
+    private final GrantTable ledger = new GrantTable();
 
     /** Returns the lease under which rights are granted. */
     public GranterLease lease() {
@@ -24,35 +20,36 @@
      * that it was counted for may have come so late that the right had lapsed and the former granter had given it to
      * another holder.
      */
-    public Verdict decide(String holder, RightRequest request, ServiceRules rules, long nowNanos) {
+    public FloorMessage.GrantResult decide(
+            String holder, FloorMessage.GrantRequest request, ServiceRules rules, long nowNanos) {
         if (!lease.isHeld(nowNanos)) {
-            return Verdict.NOT_GRANTER;
+            return FloorMessage.GrantResult.NOT_GRANTER;
         }
         if (request.ticket() > rules.ticket()) {
-            return Verdict.REFUSED;
+            return FloorMessage.GrantResult.REFUSED;
         }
         if (lease.isTakingOver(nowNanos) && !request.live()) {
-            return Verdict.REFUSED;
+            return FloorMessage.GrantResult.REFUSED;
         }
         int allowance = request.ticket() == rules.ticket()
                 ? Math.min(request.allowance(), rules.allowance())
                 : rules.allowance();
         boolean fits = ledger.tryGrant(holder, request, rules.draining(), allowance, nowNanos);
-        return fits ? Verdict.GRANTED : Verdict.REFUSED;
+        return fits ? FloorMessage.GrantResult.GRANTED : FloorMessage.GrantResult.REFUSED;
     }
 
     /** Stops counting a right that its holder gave back. */
-    public void onRelease(String holder, RightRelease release) {
+    public void onRelease(String holder, FloorMessage.GrantRelease release) {
         ledger.release(holder, release);
     }
 
     /** Takes in a report of servers that are out of service. */
-    public void onReport(String sender, OutReport report, long nowNanos) {
+    public void onReport(String sender, FloorMessage.OutOfServiceReport report, long nowNanos) {
         ledger.recordReport(sender, report.servers(), nowNanos);
     }
 
     /** Returns the rights that the rules no longer allow. */
-    public List<GrantLedger.Grant> excess(ServiceRules rules, long nowNanos) {
+    public List<GrantTable.Grant> excess(ServiceRules rules, long nowNanos) {
         if (!lease.isHeld(nowNanos)) {
             return List.of();
         }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldRight.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldGrant.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** One right that this VM holds or asks for. */
-final class HeldRight {
+final class HeldGrant {
     private final String service;
     private final String server;
     private long sequence;
@@ -16,7 +16,7 @@
     private long wantedAtNanos;
     private List<String> untried = List.of();
 
-    HeldRight(String service, String server, long nowNanos) {
+    HeldGrant(String service, String server, long nowNanos) {
         this.service = service;
         this.server = server;
         this.wantedAtNanos = nowNanos;
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/OutReports.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/OutOfServiceReports.java
@@ -1,7 +1,6 @@
 package io.coppershelf.floor.internal;
 
 import io.coppershelf.floor.internal.FloorAction.Send;
-import io.coppershelf.floor.internal.FloorMessage.OutReport;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +10,7 @@
 import java.util.function.Function;
 
 /** The servers that this VM knows to be out of service for another reason than ejection, told to all voters. */
-final class OutReports {
+final class OutOfServiceReports {
     private final Map<String, Set<String>> out = new TreeMap<>();
     private long lastReportNanos;
 
@@ -41,7 +40,7 @@
     }
 
     private static List<FloorAction> report(String service, Set<String> servers, VoterSet voters) {
-        OutReport report = new OutReport(service, List.copyOf(servers));
+        FloorMessage.OutOfServiceReport report = new FloorMessage.OutOfServiceReport(service, List.copyOf(servers));
         return voters.ids().stream()
                 .<FloorAction>map(target -> new Send(target, report))
                 .toList();
--- a/coppershelf/src/main/java/io/coppershelf/gateway/Gateway.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/Gateway.java
@@ -1,10 +1,10 @@
 package io.coppershelf.gateway;
 
 import io.coppershelf.catalog.CatalogReader;
-import io.coppershelf.dispatch.RetryBudget;
+import io.coppershelf.dispatch.FleetRetryBudget;
 import io.coppershelf.eventlog.EventLog;
 import io.coppershelf.eventlog.Fields;
-import io.coppershelf.mesh.FleetEvidence;
+import io.coppershelf.mesh.FleetObservations;
 import io.coppershelf.mesh.FleetState;
 import io.coppershelf.mesh.Membership;
 import io.coppershelf.proxy.TrafficServer;
@@ -61,14 +61,14 @@
         EventLoop control = newLoop("control");
         EventLoop trafficLoop = newLoop("traffic");
         Random random = new Random();
-        FleetEvidence evidence = FleetEvidence.create();
+        FleetObservations evidence = FleetObservations.create();
         Membership membership = new Membership(
                 settings.meshAddress(), System.currentTimeMillis(), settings.seeds(), random, System.nanoTime());
         PrometheusRegistry registry = new PrometheusRegistry();
-        CatalogReader reader = new MeasuredReader(readers.apply(control), registry);
+        CatalogReader reader = new MeteredCatalogReader(readers.apply(control), registry);
         FleetState state = new FleetState(control, reader, evidence, membership, random, log);
-        RetryBudget budget =
-                new RetryBudget(settings.retryRatio(), settings.retriesPerWindow(), settings.retryWindow());
+        FleetRetryBudget budget =
+                new FleetRetryBudget(settings.retryRatio(), settings.retriesPerWindow(), settings.retryWindow());
         TrafficServer traffic = new TrafficServer(
                 trafficLoop,
                 settings.headers(),
--- a/coppershelf/src/main/java/io/coppershelf/gateway/MeasuredReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/MeteredCatalogReader.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** Counts the readings of the platform by kind and outcome, and their duration. */
-final class MeasuredReader implements CatalogReader {
+final class MeteredCatalogReader implements CatalogReader {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final String COMPLETE = "complete";
     private static final String CHANGES = "changes";
@@ -21,7 +21,7 @@
     private final Counter readings;
     private final Histogram duration;
 
-    MeasuredReader(CatalogReader reader, PrometheusRegistry registry) {
+    MeteredCatalogReader(CatalogReader reader, PrometheusRegistry registry) {
         this.reader = reader;
         readings = Counter.builder()
                 .name("coppershelf_platform_readings_total")
--- a/coppershelf/src/main/java/io/coppershelf/health/TryEnd.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/AttemptEnd.java
@@ -1,7 +1,7 @@
 package io.coppershelf.health;
 
 /** How a try ended, as far as it speaks about its server. */
-public enum TryEnd {
+public enum AttemptEnd {
     /** A whole answer that is no error of the server. */
     ANSWERED,
     /** The server caused an error: a 5xx status, a lost connection, a truncated or foreign answer. */
--- a/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
@@ -1,15 +1,15 @@
 package io.coppershelf.health;
 
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.health.internal.DrainSigns;
+import io.coppershelf.health.internal.DrainSources;
 import io.coppershelf.health.internal.ErrorRates;
-import io.coppershelf.health.internal.GroupTime;
+import io.coppershelf.health.internal.EventTime;
+import io.coppershelf.health.internal.MonitoredAttempt;
 import io.coppershelf.health.internal.ObservedClock;
 import io.coppershelf.health.internal.ServerEvidence.Finding;
 import io.coppershelf.health.internal.ServerHealth;
 import io.coppershelf.health.internal.StallDetector;
-import io.coppershelf.health.internal.UsualTimes;
-import io.coppershelf.health.internal.WatchedTry;
+import io.coppershelf.health.internal.TypicalServiceTimes;
 import io.coppershelf.ticket.ServerSpec;
 import io.coppershelf.ticket.ServiceSpec;
 import java.time.Duration;
@@ -28,7 +28,7 @@
  * <pre>{@code
  * health.advance(now);
  * health.dispatched("try-1", "rotavis-3", "rotavis/week", true, now);
- * health.ended("try-1", "rotavis-3", TryEnd.ANSWERED, ServerState.READY, now);
+ * health.ended("try-1", "rotavis-3", AttemptEnd.ANSWERED, ServerState.READY, now);
  * health.tick(now);
  * int slots = health.allowedSlots(spec, now);
  * }</pre>
@@ -45,11 +45,11 @@
     private final HealthCommands commands;
     private final Function<ServiceSpec, HealthPolicy> policies;
     private final ObservedClock clock = new ObservedClock();
-    private final UsualTimes usualTimes = new UsualTimes();
+    private final TypicalServiceTimes usualTimes = new TypicalServiceTimes();
     private final ErrorRates errorRates = new ErrorRates();
     private final Map<String, ServerHealth> servers = new TreeMap<>();
     private final Map<String, Long> lastHeardNanos = new TreeMap<>();
-    private final DrainSigns drainSigns = new DrainSigns();
+    private final DrainSources drainSigns = new DrainSources();
 
     private boolean configured;
     private long sharedNanos;
@@ -106,17 +106,17 @@
 
     /** Takes in that a try was sent to a server. */
     public void dispatched(String tryId, String server, String route, boolean idempotent, long nowNanos) {
-        WatchedTry watched = new WatchedTry(tryId, route, idempotent, nowNanos, clock.observedNanos());
+        MonitoredAttempt watched = new MonitoredAttempt(tryId, route, idempotent, nowNanos, clock.observedNanos());
         find(server).ifPresent(health -> health.dispatched(watched, nowNanos));
     }
 
     /** Takes in how a try ended and what the server said of itself. */
-    public void ended(String tryId, String server, TryEnd end, ServerState state, long nowNanos) {
+    public void ended(String tryId, String server, AttemptEnd end, ServerState state, long nowNanos) {
         Optional<ServerHealth> health = find(server);
         if (health.isEmpty()) {
             return;
         }
-        Optional<WatchedTry> watched = health.get().evidence().ended(tryId);
+        Optional<MonitoredAttempt> watched = health.get().evidence().ended(tryId);
         hearOfPath(server, health.get(), end, state, nowNanos);
         hear(server, health.get(), state, nowNanos);
         watched.filter(known -> isTelling(known, health.get(), nowNanos))
@@ -124,24 +124,24 @@
         evaluate(server, health.get(), nowNanos);
     }
 
-    private void hearOfPath(String server, ServerHealth health, TryEnd end, ServerState state, long nowNanos) {
-        if (end == TryEnd.ANSWERED || state != ServerState.UNSTATED) {
+    private void hearOfPath(String server, ServerHealth health, AttemptEnd end, ServerState state, long nowNanos) {
+        if (end == AttemptEnd.ANSWERED || state != ServerState.UNSTATED) {
             lastHeardNanos.put(server, nowNanos);
             health.path().recordAnswer();
-        } else if (end == TryEnd.NOT_CONNECTED) {
+        } else if (end == AttemptEnd.NOT_CONNECTED) {
             health.path().recordConnectFailure();
         }
     }
 
-    private boolean isTelling(WatchedTry watched, ServerHealth health, long nowNanos) {
+    private boolean isTelling(MonitoredAttempt watched, ServerHealth health, long nowNanos) {
         return !watched.isIgnored()
                 && watched.unobservedNanos(nowNanos, clock.observedNanos()) <= UNOBSERVED_LIMIT_NANOS
                 && health.condition() != ServerCondition.DRAINING;
     }
 
-    private void judge(String server, ServerHealth health, WatchedTry watched, TryEnd told, long nowNanos) {
+    private void judge(String server, ServerHealth health, MonitoredAttempt watched, AttemptEnd told, long nowNanos) {
         long age = watched.ageNanos(clock.observedNanos());
-        TryEnd end = watched.isCancelled() && told != TryEnd.ANSWERED ? TryEnd.TIMED_OUT : told;
+        AttemptEnd end = watched.isCancelled() && told != AttemptEnd.ANSWERED ? AttemptEnd.TIMED_OUT : told;
         switch (end) {
             case ANSWERED -> judgeAnswer(server, health, watched, age, nowNanos);
             case FAILED -> judgeError(server, health, watched, nowNanos);
@@ -150,7 +150,7 @@
         }
     }
 
-    private void judgeAnswer(String server, ServerHealth health, WatchedTry watched, long age, long nowNanos) {
+    private void judgeAnswer(String server, ServerHealth health, MonitoredAttempt watched, long age, long nowNanos) {
         health.evidence().markOvertaken(watched, clock.observedNanos());
         usualTimes
                 .typicalOfPeers(watched.route(), server)
@@ -162,12 +162,12 @@
         }
     }
 
-    private void judgeError(String server, ServerHealth health, WatchedTry watched, long nowNanos) {
+    private void judgeError(String server, ServerHealth health, MonitoredAttempt watched, long nowNanos) {
         health.recordError(watched.route(), true, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
         errorRates.record(server, watched.route(), true);
     }
 
-    private void judgeTimeout(String server, ServerHealth health, WatchedTry watched, long nowNanos) {
+    private void judgeTimeout(String server, ServerHealth health, MonitoredAttempt watched, long nowNanos) {
         double surprise = usualTimes
                 .typical(watched.route())
                 .map(usual ->
@@ -322,8 +322,8 @@
         return servers.keySet();
     }
 
-    private GroupTime time(long nowNanos) {
-        return new GroupTime(nowNanos, clock.observedNanos());
+    private EventTime time(long nowNanos) {
+        return new EventTime(nowNanos, clock.observedNanos());
     }
 
     private Optional<ServerHealth> find(String server) {
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSigns.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSources.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** The signs by which servers drain: a ticket, their own word, or both. */
-public final class DrainSigns {
+public final class DrainSources {
     /** How long a server that drains by its own word is not taken back by a probe, which may lag. */
     private static final long LEAST_DRAIN_NANOS = Duration.ofSeconds(10).toNanos();
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/HoldTime.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/EjectionBackoff.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** How long a server stays ejected before probation: doubled for each ejection that follows soon on another. */
-public final class HoldTime {
+public final class EjectionBackoff {
     private static final Duration FIRST = Duration.ofSeconds(5);
     private static final Duration LONGEST = Duration.ofMinutes(5);
     /** The time in good service after which the hold time is halved. */
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/GroupTime.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/EventTime.java
@@ -6,4 +6,4 @@
  * @param nowNanos the monotonic time, for what is promised to others
  * @param observedNanos the observed time, for evidence
  */
-public record GroupTime(long nowNanos, long observedNanos) {}
+public record EventTime(long nowNanos, long observedNanos) {}
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/LatencyComparison.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/LatencyComparison.java
@@ -12,14 +12,14 @@
     private final CumulativeSum sum = new CumulativeSum();
 
     /** Takes in an answer; returns its log-likelihood ratio, positive if it speaks for slowness. */
-    public double record(long nanos, UsualTime usual, long observedNanos) {
+    public double record(long nanos, TypicalServiceTime usual, long observedNanos) {
         double ratio = ratio(nanos, usual);
         sum.add(ratio, observedNanos);
         return ratio;
     }
 
     /** Returns the log-likelihood ratio of an answer in nats, positive if it speaks for slowness. */
-    public static double ratio(long nanos, UsualTime usual) {
+    public static double ratio(long nanos, TypicalServiceTime usual) {
         double variance = usual.logDeviation() * usual.logDeviation();
         double ratio = SLOW_LOG_RATIO / variance * (usual.deviation(nanos) - SLOW_LOG_RATIO / 2 - USUAL_LOG_ERROR);
         return Math.max(-SAMPLE_LIMIT_NATS, Math.min(SAMPLE_LIMIT_NATS, ratio));
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/WatchedTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/MonitoredAttempt.java
@@ -1,7 +1,7 @@
 package io.coppershelf.health.internal;
 
 /** A try in flight as the health of its server sees it. */
-public final class WatchedTry {
+public final class MonitoredAttempt {
     private final String tryId;
     private final String route;
     private final boolean idempotent;
@@ -12,7 +12,7 @@
     private boolean ignored;
 
     /** Returns a try that was dispatched at the given monotonic and observed times. */
-    public WatchedTry(String tryId, String route, boolean idempotent, long nowNanos, long observedNanos) {
+    public MonitoredAttempt(String tryId, String route, boolean idempotent, long nowNanos, long observedNanos) {
         this.tryId = tryId;
         this.route = route;
         this.idempotent = idempotent;
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueTries.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueAttempts.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /** Finds the tries that are not worth waiting for on a sick server. */
-final class OverdueTries {
+final class OverdueAttempts {
     /** A try that is so surprisingly late is overdue. */
     private static final double OVERDUE_NATS = 6.0;
 
-    private OverdueTries() {}
+    private OverdueAttempts() {}
 
     /** Returns the tries in flight that may be repeated and are overdue. */
-    static List<WatchedTry> of(ServerEvidence evidence, UsualTimes usualTimes, long observedNanos) {
+    static List<MonitoredAttempt> of(ServerEvidence evidence, TypicalServiceTimes usualTimes, long observedNanos) {
         return evidence.inFlight().stream()
-                .filter(WatchedTry::isIdempotent)
+                .filter(MonitoredAttempt::isIdempotent)
                 .filter(watched -> isOverdue(watched, usualTimes, observedNanos))
                 .toList();
     }
 
-    private static boolean isOverdue(WatchedTry watched, UsualTimes usualTimes, long observedNanos) {
+    private static boolean isOverdue(MonitoredAttempt watched, TypicalServiceTimes usualTimes, long observedNanos) {
         return usualTimes
                 .typical(watched.route())
                 .map(usual -> usual.surprisal(watched.ageNanos(observedNanos)) >= OVERDUE_NATS)
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
@@ -11,21 +11,21 @@
     private final LatencyComparison latency = new LatencyComparison();
     private final CumulativeSum silence = new CumulativeSum();
     private final ErrorComparison errors = new ErrorComparison();
-    private final Map<String, WatchedTry> inFlight = new LinkedHashMap<>();
+    private final Map<String, MonitoredAttempt> inFlight = new LinkedHashMap<>();
 
     /** Takes in a try that was dispatched. */
-    public void dispatched(WatchedTry watched) {
+    public void dispatched(MonitoredAttempt watched) {
         inFlight.put(watched.attemptId(), watched);
     }
 
     /** Takes in that a try ended, and returns it. */
-    public Optional<WatchedTry> ended(String tryId) {
+    public Optional<MonitoredAttempt> ended(String tryId) {
         return Optional.ofNullable(inFlight.remove(tryId));
     }
 
     /** Takes in an answer: the tries of its kind that were dispatched before it have been overtaken. */
-    public void markOvertaken(WatchedTry answered, long observedNanos) {
-        for (WatchedTry other : inFlight.values()) {
+    public void markOvertaken(MonitoredAttempt answered, long observedNanos) {
+        for (MonitoredAttempt other : inFlight.values()) {
             if (other.route().equals(answered.route())
                     && other.ageNanos(observedNanos) > answered.ageNanos(observedNanos)) {
                 other.recordOvertaken();
@@ -34,7 +34,7 @@
     }
 
     /** Takes in a service time; returns its log-likelihood ratio, positive if it speaks for slowness. */
-    public double recordAnswer(long nanos, UsualTime usual, long observedNanos) {
+    public double recordAnswer(long nanos, TypicalServiceTime usual, long observedNanos) {
         double ratio = latency.record(nanos, usual, observedNanos);
         silence.add(Math.min(0, ratio), observedNanos);
         return ratio;
@@ -56,7 +56,7 @@
     }
 
     /** Returns the tries in flight, the oldest first. */
-    public Collection<WatchedTry> inFlight() {
+    public Collection<MonitoredAttempt> inFlight() {
         return Collections.unmodifiableCollection(inFlight.values());
     }
 
@@ -72,7 +72,7 @@
         latency.set(0, observedNanos);
         silence.set(0, observedNanos);
         errors.clear();
-        inFlight.values().forEach(WatchedTry::ignore);
+        inFlight.values().forEach(MonitoredAttempt::ignore);
     }
 
     /** Returns whether a try is in flight that still says something. */
@@ -81,7 +81,7 @@
     }
 
     /** Returns the evidence in nats and its main cause. */
-    public Finding finding(UsualTimes usualTimes, double slowness, long observedNanos) {
+    public Finding finding(TypicalServiceTimes usualTimes, double slowness, long observedNanos) {
         double stall = StallDetector.evidence(inFlight.values(), usualTimes, slowness, observedNanos);
         double silent = stall + silence.nats();
         double slow = latency.evidence();
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
@@ -22,7 +22,7 @@
     private final HealthCommands commands;
     private final ServerEvidence evidence = new ServerEvidence();
     private final PathCheck path = new PathCheck();
-    private final HoldTime holdTime = new HoldTime();
+    private final EjectionBackoff holdTime = new EjectionBackoff();
     private final ColdStart coldStart = new ColdStart();
     private final EjectionRight right = new EjectionRight();
 
@@ -51,7 +51,7 @@
     }
 
     /** Begins a cold start, unless the server is out of service. */
-    public void startCold(GroupTime time) {
+    public void startCold(EventTime time) {
         if (condition == ServerCondition.IN_SERVICE || condition == ServerCondition.SUSPECTED) {
             coldStart.begin(time.nowNanos());
             evidence.clear(time.observedNanos());
@@ -60,7 +60,7 @@
     }
 
     /** Takes in that the server says it is cold. */
-    public void reportCold(GroupTime time) {
+    public void reportCold(EventTime time) {
         if (coldStart.reportCold()) {
             startCold(time);
         }
@@ -72,7 +72,7 @@
     }
 
     /** Takes the server out of service because it is leaving. */
-    public void drain(String why, GroupTime time) {
+    public void drain(String why, EventTime time) {
         if (condition != ServerCondition.DRAINING) {
             change(ServerCondition.DRAINING, why, time);
             dropRight();
@@ -80,7 +80,7 @@
     }
 
     /** Takes the server back into service after a drain. */
-    public void endDrain(GroupTime time) {
+    public void endDrain(EventTime time) {
         if (condition == ServerCondition.DRAINING) {
             evidence.clear(time.observedNanos());
             coldStart.begin(time.nowNanos());
@@ -89,7 +89,7 @@
     }
 
     /** Takes in the service time of an answer against the usual time on the server's peers. */
-    public void recordAnswer(long nanos, UsualTime usual, GroupTime time) {
+    public void recordAnswer(long nanos, TypicalServiceTime usual, EventTime time) {
         double ratio = evidence.recordAnswer(nanos, usual.slowedBy(slowness()), time.observedNanos());
         if (condition == ServerCondition.PROBATION && ratio < 0) {
             goodAnswers++;
@@ -97,7 +97,7 @@
     }
 
     /** Takes in whether the server caused an error. */
-    public void recordError(String route, boolean error, double rateOfPeers, GroupTime time) {
+    public void recordError(String route, boolean error, double rateOfPeers, EventTime time) {
         evidence.errors().record(route, error, rateOfPeers, time.observedNanos());
         if (error && condition == ServerCondition.PROBATION) {
             holdAgain(time);
@@ -105,7 +105,7 @@
     }
 
     /** Takes in that a try ended without an answer, and how surprising its age was. */
-    public void recordTimeout(double surprise, GroupTime time) {
+    public void recordTimeout(double surprise, EventTime time) {
         evidence.recordTimeout(surprise, time.observedNanos());
         if (condition == ServerCondition.PROBATION) {
             holdAgain(time);
@@ -113,7 +113,7 @@
     }
 
     /** Takes in that the right to eject is held until the given time. */
-    public void granted(long untilNanos, GroupTime time) {
+    public void granted(long untilNanos, EventTime time) {
         boolean out = condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION;
         if (!out && condition != ServerCondition.SUSPECTED) {
             commands.releaseEjection(server);
@@ -126,13 +126,13 @@
     }
 
     /** Takes in that the right to eject ended early. */
-    public void revoked(GroupTime time) {
+    public void revoked(EventTime time) {
         right.revoke(time.nowNanos());
         returnToSuspicion("right to eject revoked", time);
     }
 
     /** Ends an ejection whose right has lapsed. */
-    public void expireRight(GroupTime time) {
+    public void expireRight(EventTime time) {
         if (!right.isHeld(time.nowNanos())) {
             returnToSuspicion("right to eject lapsed", time);
         }
@@ -144,7 +144,7 @@
      * @param finding the evidence at hand
      * @param common whether all other servers of the group are suspected as well
      */
-    public void evaluate(Finding finding, boolean common, GroupTime time) {
+    public void evaluate(Finding finding, boolean common, EventTime time) {
         expireRight(time);
         switch (condition) {
             case IN_SERVICE, COLD -> evaluateInService(finding, time);
@@ -155,7 +155,7 @@
         }
     }
 
-    private void evaluateInService(Finding finding, GroupTime time) {
+    private void evaluateInService(Finding finding, EventTime time) {
         if (condition == ServerCondition.COLD && coldStart.isOver(time.nowNanos())) {
             change(ServerCondition.IN_SERVICE, "warm", time);
         }
@@ -168,7 +168,7 @@
         checkPath(time);
     }
 
-    private void evaluateSuspected(Finding finding, boolean common, GroupTime time) {
+    private void evaluateSuspected(Finding finding, boolean common, EventTime time) {
         Verdict verdict = path.verdict(time.nowNanos());
         if (verdict == Verdict.CLEAR && finding.nats() < suspicionNats() * HYSTERESIS) {
             change(ServerCondition.IN_SERVICE, "recovered", time);
@@ -196,13 +196,13 @@
         };
     }
 
-    private void checkPath(GroupTime time) {
+    private void checkPath(EventTime time) {
         probedNanos = time.nowNanos();
         commands.probe(server);
         commands.queryReachability(server);
     }
 
-    private void evaluateEjected(GroupTime time) {
+    private void evaluateEjected(EventTime time) {
         renewRight(time);
         if (time.nowNanos() - holdUntilNanos >= 0) {
             evidence.clear(time.observedNanos());
@@ -211,7 +211,7 @@
         }
     }
 
-    private void evaluateProbation(Finding finding, GroupTime time) {
+    private void evaluateProbation(Finding finding, EventTime time) {
         renewRight(time);
         if (finding.nats() >= suspicionNats()) {
             holdAgain(time);
@@ -226,23 +226,23 @@
         return trialNanos - sinceNanos < 0 && nowNanos - sinceNanos >= UNTRIED_LIMIT_NANOS;
     }
 
-    private void renewRight(GroupTime time) {
+    private void renewRight(EventTime time) {
         if (right.shouldRequest(time.nowNanos())) {
             commands.requestEjection(server, reason);
         }
     }
 
-    private void holdAgain(GroupTime time) {
+    private void holdAgain(EventTime time) {
         hold("probation failed", time);
     }
 
-    private void hold(String why, GroupTime time) {
+    private void hold(String why, EventTime time) {
         holdUntilNanos =
                 time.nowNanos() + holdTime.nextDuration(time.nowNanos()).toNanos();
         change(ServerCondition.EJECTED, why, time);
     }
 
-    private void returnToSuspicion(String why, GroupTime time) {
+    private void returnToSuspicion(String why, EventTime time) {
         if (condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION) {
             evidence.setSlowness(policy.ejectionNats(), time.observedNanos());
             change(ServerCondition.SUSPECTED, why, time);
@@ -255,7 +255,7 @@
         }
     }
 
-    private void change(ServerCondition to, String why, GroupTime time) {
+    private void change(ServerCondition to, String why, EventTime time) {
         if (condition != to) {
             commands.conditionChanged(server, condition, to, why);
             sinceNanos = time.nowNanos();
@@ -265,15 +265,15 @@
     }
 
     /** Cancels the tries that are overdue on a sick server and may be repeated. */
-    public void cancelOverdue(Finding finding, UsualTimes usualTimes, long observedNanos) {
+    public void cancelOverdue(Finding finding, TypicalServiceTimes usualTimes, long observedNanos) {
         boolean sick = condition == ServerCondition.EJECTED
                 || condition == ServerCondition.PROBATION
                 || (condition == ServerCondition.SUSPECTED && finding.nats() >= ejectionNats());
         if (!sick) {
             return;
         }
-        OverdueTries.of(evidence, usualTimes, observedNanos).stream()
-                .filter(WatchedTry::markCancelled)
+        OverdueAttempts.of(evidence, usualTimes, observedNanos).stream()
+                .filter(MonitoredAttempt::markCancelled)
                 .forEach(watched -> commands.cancel(watched.attemptId(), server));
     }
 
@@ -299,7 +299,7 @@
     }
 
     /** Takes in that a try was sent. */
-    public void dispatched(WatchedTry watched, long nowNanos) {
+    public void dispatched(MonitoredAttempt watched, long nowNanos) {
         evidence.dispatched(watched);
         trialNanos = nowNanos;
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/StallDetector.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/StallDetector.java
@@ -27,11 +27,14 @@
      * @param observedNanos the observed time
      */
     public static double evidence(
-            Collection<WatchedTry> inFlight, UsualTimes usualTimes, double slowness, long observedNanos) {
+            Collection<MonitoredAttempt> inFlight,
+            TypicalServiceTimes usualTimes,
+            double slowness,
+            long observedNanos) {
         double sum = 0;
         int count = 0;
-        for (WatchedTry watched : inFlight) {
-            Optional<UsualTime> usual = usualTimes.typical(watched.route());
+        for (MonitoredAttempt watched : inFlight) {
+            Optional<TypicalServiceTime> usual = usualTimes.typical(watched.route());
             if (usual.isPresent() && !watched.isIgnored()) {
                 sum += surprisal(watched, usual.get().slowedBy(slowness), observedNanos);
                 count++;
@@ -41,7 +44,7 @@
     }
 
     /** Returns how surprising it is that the try has run for so long, in nats, up to what one try can say. */
-    public static double surprisal(WatchedTry watched, UsualTime usual, long observedNanos) {
+    public static double surprisal(MonitoredAttempt watched, TypicalServiceTime usual, long observedNanos) {
         double surprise = Math.min(TRY_LIMIT_NATS, usual.surprisal(watched.ageNanos(observedNanos)));
         return Math.max(0, surprise - OVERTAKEN_NATS * watched.overtakenCount());
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/UsualTime.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/TypicalServiceTime.java
@@ -6,7 +6,7 @@
  * @param logMean the mean of the natural logarithm of nanoseconds
  * @param logDeviation the standard deviation of that logarithm
  */
-public record UsualTime(double logMean, double logDeviation) {
+public record TypicalServiceTime(double logMean, double logDeviation) {
     /** The standard deviation of the standard logistic distribution. */
     private static final double LOGISTIC_DEVIATION = Math.PI / Math.sqrt(3);
 
@@ -32,7 +32,7 @@
     }
 
     /** Returns the usual time of a server that is slower than the others by the given factor. */
-    public UsualTime slowedBy(double factor) {
-        return new UsualTime(logMean + Math.log(factor), logDeviation);
+    public TypicalServiceTime slowedBy(double factor) {
+        return new TypicalServiceTime(logMean + Math.log(factor), logDeviation);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/UsualTimes.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/TypicalServiceTimes.java
@@ -13,7 +13,7 @@
  * The usual service time of each request kind: the median over the servers of the group and over what other owners of
  * the service tell. One slow server does not move a median.
  */
-public final class UsualTimes {
+public final class TypicalServiceTimes {
     private static final int LEAST_SAMPLES = 5;
     private static final long HEARD_VALID_NANOS = Duration.ofSeconds(10).toNanos();
     private static final double FIRST_DEVIATION = 0.6;
@@ -25,7 +25,7 @@
     private final Map<String, Map<String, LogAverage>> byRoute = new TreeMap<>();
     private final Map<String, LogAverage> variances = new HashMap<>();
     private final Map<String, Heard> heard = new TreeMap<>();
-    private final Map<Lookup, Optional<UsualTime>> cache = new HashMap<>();
+    private final Map<Lookup, Optional<TypicalServiceTime>> cache = new HashMap<>();
 
     /** Takes in the service time of an answer of a server that is in service. */
     public void record(String server, String route, long nanos) {
@@ -59,12 +59,12 @@
     }
 
     /** Returns the usual time of the kind on all servers, empty if too little is known. */
-    public Optional<UsualTime> typical(String route) {
+    public Optional<TypicalServiceTime> typical(String route) {
         return cache.computeIfAbsent(new Lookup(route, ""), this::lookUp);
     }
 
     /** Returns the usual time of the kind on the server's peers, empty if too little is known. */
-    public Optional<UsualTime> typicalOfPeers(String route, String server) {
+    public Optional<TypicalServiceTime> typicalOfPeers(String route, String server) {
         return cache.computeIfAbsent(new Lookup(route, server), this::lookUp);
     }
 
@@ -80,7 +80,7 @@
         return medians;
     }
 
-    private Optional<UsualTime> lookUp(Lookup lookup) {
+    private Optional<TypicalServiceTime> lookUp(Lookup lookup) {
         List<Double> means = new ArrayList<>(ownMeans(byRoute.getOrDefault(lookup.route, Map.of()), lookup.excluded));
         for (Heard figures : heard.values()) {
             Long nanos = figures.usualNanos.get(lookup.route);
@@ -91,7 +91,7 @@
         if (means.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(new UsualTime(median(means), logDeviation(lookup.route)));
+        return Optional.of(new TypicalServiceTime(median(means), logDeviation(lookup.route)));
     }
 
     private static List<Double> ownMeans(Map<String, LogAverage> averages, String excluded) {
--- a/coppershelf/src/main/java/io/coppershelf/http/HttpLink.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/HttpConnection.java
@@ -22,7 +22,7 @@
  * A connection with one exchange at a time. It is fit for another exchange only if the last one ended cleanly: request
  * written to the end, answer delimited by its own length, no byte after it, and no wish of the server to close.
  */
-public final class HttpLink extends ChannelInboundHandlerAdapter {
+public final class HttpConnection extends ChannelInboundHandlerAdapter {
     /** The largest answer that is kept in memory, in bytes; the largest ones of the workloads are about a megabyte. */
     private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
     /** How long an idle connection is used if the server states no limit; below the usual server's ten seconds. */
@@ -30,8 +30,8 @@
     /** Taken off the limit that the server states, for the way there. */
     private static final long IDLE_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final Consumer<HttpLink> onReusable;
-    private final Consumer<HttpLink> onClosed;
+    private final Consumer<HttpConnection> onReusable;
+    private final Consumer<HttpConnection> onClosed;
     private Channel channel;
     private Optional<AnswerListener> listener = Optional.empty();
     private Optional<HttpResponse> head = Optional.empty();
@@ -44,7 +44,7 @@
     private long idleLimitNanos = DEFAULT_IDLE_NANOS;
     private long idleSinceNanos;
 
-    HttpLink(Consumer<HttpLink> onReusable, Consumer<HttpLink> onClosed) {
+    HttpConnection(Consumer<HttpConnection> onReusable, Consumer<HttpConnection> onClosed) {
         this.onReusable = onReusable;
         this.onClosed = onClosed;
     }
--- a/coppershelf/src/main/java/io/coppershelf/http/HttpConnector.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/HttpConnector.java
@@ -41,11 +41,11 @@
      */
     public void open(
             InetSocketAddress address,
-            Consumer<HttpLink> onOpen,
+            Consumer<HttpConnection> onOpen,
             Consumer<Throwable> onFailure,
-            Consumer<HttpLink> onReusable,
-            Consumer<HttpLink> onClosed) {
-        HttpLink link = new HttpLink(onReusable, onClosed);
+            Consumer<HttpConnection> onReusable,
+            Consumer<HttpConnection> onClosed) {
+        HttpConnection link = new HttpConnection(onReusable, onClosed);
         ChannelFuture connecting = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<Channel>() {
--- a/coppershelf/src/main/java/io/coppershelf/kernel/Part.java
+++ b/coppershelf/src/main/java/io/coppershelf/kernel/Component.java
@@ -8,15 +8,15 @@
  * <p>A part registers what it offers in {@link #register} and looks up what it needs in {@link #start}, so that parts
  * may need each other.
  */
-public interface Part {
+public interface Component {
     /** Returns the name of the part, also the prefix of its log lines. */
     String name();
 
     /** Registers the services that this part offers. */
-    void register(ServiceRegistry registry);
+    void register(ComponentRegistry registry);
 
     /** Looks up the services of other parts and begins work. */
-    void start(ServiceRegistry registry);
+    void start(ComponentRegistry registry);
 
     /**
      * Hears that the process is about to stop, before any part is stopped: the part tells the outside that new work
--- a/coppershelf/src/main/java/io/coppershelf/kernel/ServiceName.java
+++ b/coppershelf/src/main/java/io/coppershelf/kernel/ComponentKey.java
@@ -7,9 +7,9 @@
  * @param type the interface that the service offers
  * @param <T> the interface that the service offers
  */
-public record ServiceName<T>(String name, Class<T> type) {
+public record ComponentKey<T>(String name, Class<T> type) {
     /** Returns the name of a service with the given interface. */
-    public static <T> ServiceName<T> named(String name, Class<T> type) {
-        return new ServiceName<>(name, type);
+    public static <T> ComponentKey<T> named(String name, Class<T> type) {
+        return new ComponentKey<>(name, type);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/kernel/ServiceRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/kernel/ComponentRegistry.java
@@ -14,7 +14,7 @@
  * ControlThread control = registry.require(ControlThread.NAME);
  * }</pre>
  */
-public final class ServiceRegistry {
+public final class ComponentRegistry {
     private final ConcurrentMap<String, Object> services = new ConcurrentHashMap<>();
 
     /**
@@ -22,7 +22,7 @@
      *
      * @throws IllegalStateException if the name is taken
      */
-    public <T> void register(ServiceName<T> name, T service) {
+    public <T> void register(ComponentKey<T> name, T service) {
         Object present = services.putIfAbsent(name.name(), name.type().cast(service));
         if (present != null) {
             throw new IllegalStateException("service \"" + name.name() + "\" is already registered");
@@ -30,7 +30,7 @@
     }
 
     /** Returns the service of the given name, empty if there is none. */
-    public <T> Optional<T> find(ServiceName<T> name) {
+    public <T> Optional<T> find(ComponentKey<T> name) {
         return Optional.ofNullable(services.get(name.name())).map(name.type()::cast);
     }
 
@@ -39,7 +39,7 @@
      *
      * @throws CoppershelfException with {@link ErrorKind#SERVICE_MISSING} if there is none
      */
-    public <T> T require(ServiceName<T> name) {
+    public <T> T require(ComponentKey<T> name) {
         return find(name)
                 .orElseThrow(() -> CoppershelfException.of(
                         ErrorKind.SERVICE_MISSING, "no service named \"" + name.name() + "\" is registered"));
--- a/coppershelf/src/main/java/io/coppershelf/kernel/ControlThread.java
+++ b/coppershelf/src/main/java/io/coppershelf/kernel/ControlThread.java
@@ -4,7 +4,7 @@
 
 /** The one thread that owns the control state of a process; traffic threads read snapshots that it publishes. */
 public interface ControlThread {
-    ServiceName<ControlThread> NAME = ServiceName.named("control", ControlThread.class);
+    ComponentKey<ControlThread> NAME = ComponentKey.named("control", ControlThread.class);
 
     /** Runs the task on the control thread, after those submitted before it. */
     void execute(Runnable task);
--- a/coppershelf/src/main/java/io/coppershelf/kernel/TimeSource.java
+++ b/coppershelf/src/main/java/io/coppershelf/kernel/TimeSource.java
@@ -2,7 +2,7 @@
 
 /** Where a process reads its time; decisions never do, they are handed the time of each event. */
 public interface TimeSource {
-    ServiceName<TimeSource> NAME = ServiceName.named("time", TimeSource.class);
+    ComponentKey<TimeSource> NAME = ComponentKey.named("time", TimeSource.class);
 
     /** Returns a monotonic time in nanoseconds; only differences have a meaning. */
     long nanos();
--- a/coppershelf/src/main/java/io/coppershelf/kernel/internal/Kernel.java
+++ b/coppershelf/src/main/java/io/coppershelf/kernel/internal/ComponentManager.java
@@ -1,8 +1,8 @@
 package io.coppershelf.kernel.internal;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -13,15 +13,15 @@
  *
  * <p>If a part fails to start, those started before it are stopped and the failure goes on to the caller.
  */
-public final class Kernel {
+public final class ComponentManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    private final ServiceRegistry registry;
-    private final List<Part> parts;
-    private final Deque<Part> started = new ArrayDeque<>();
+    private final ComponentRegistry registry;
+    private final List<Component> parts;
+    private final Deque<Component> started = new ArrayDeque<>();
 
     /** Creates a kernel with the given parts, in the order of their start. */
-    public Kernel(ServiceRegistry registry, List<Part> parts) {
+    public ComponentManager(ComponentRegistry registry, List<Component> parts) {
         this.registry = registry;
         this.parts = List.copyOf(parts);
     }
@@ -29,12 +29,12 @@
     /** Registers the services of all parts, then starts them. */
     public void start() {
         parts.forEach(part -> part.register(registry));
-        for (Part part : parts) {
+        for (Component part : parts) {
             startPart(part);
         }
     }
 
-    private void startPart(Part part) {
+    private void startPart(Component part) {
         try {
             part.start(registry);
             started.push(part);
@@ -54,13 +54,13 @@
         long end = System.nanoTime() + limit.toNanos();
         started.forEach(part -> attempt(part, "announce the stop of", part::announceStop));
         while (!started.isEmpty()) {
-            Part part = started.pop();
+            Component part = started.pop();
             Duration left = Duration.ofNanos(Math.max(0, end - System.nanoTime()));
             attempt(part, "stop", () -> part.stop(left));
         }
     }
 
-    private static void attempt(Part part, String step, Runnable task) {
+    private static void attempt(Component part, String step, Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
@@ -1,6 +1,6 @@
 package io.coppershelf.membership;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import java.util.List;
 import java.util.Optional;
 
@@ -51,7 +51,7 @@
 
     /** Where traffic threads read the view in force. */
     interface Source {
-        ServiceName<Source> NAME = ServiceName.named("fleet", Source.class);
+        ComponentKey<Source> NAME = ComponentKey.named("fleet", Source.class);
 
         /** Returns the latest snapshot. */
         FleetView current();
--- a/coppershelf/src/main/java/io/coppershelf/membership/MembershipPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/MembershipComponent.java
@@ -1,15 +1,15 @@
 package io.coppershelf.membership;
 
 import com.google.common.flogger.FluentLogger;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.internal.FleetSnapshot;
 import io.coppershelf.membership.internal.FleetSource;
-import io.coppershelf.membership.internal.ListReader;
 import io.coppershelf.membership.internal.MembershipDriver;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.membership.internal.VmListReader;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.platform.Platform;
@@ -24,7 +24,7 @@
  * The part of the daemon that knows which VMs are live. The settings and the time must be registered before
  * {@link #register} is called on this part.
  */
-public final class MembershipPart implements Part, LeaveNotice {
+public final class MembershipComponent implements Component, LeaveNotice {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private Optional<FleetSource> source = Optional.empty();
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         Settings settings = registry.require(Settings.NAME);
         long incarnation = registry.require(TimeSource.NAME).wallMillis();
         Vm self = new Vm(
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         FleetSource fleet = source.orElseThrow();
         ControlThread control = registry.require(ControlThread.NAME);
         MembershipDriver started = new MembershipDriver(
@@ -68,8 +68,8 @@
         started.start();
         long seed = fleet.current().self().incarnation();
         registry.find(Platform.NAME)
-                .ifPresent(platform -> new ListReader(platform, control, fleet, seed, started::onList).read());
-        showMetrics(registry.require(OperatorDesk.NAME), fleet);
+                .ifPresent(platform -> new VmListReader(platform, control, fleet, seed, started::onList).read());
+        showMetrics(registry.require(OperatorRegistry.NAME), fleet);
     }
 
     @Override
@@ -88,7 +88,7 @@
         leave();
     }
 
-    private static void showMetrics(OperatorDesk desk, FleetView.Source fleet) {
+    private static void showMetrics(OperatorRegistry desk, FleetView.Source fleet) {
         GaugeWithCallback.builder()
                 .name("coppershelf_fleet_vms")
                 .help("VMs of the fleet that count as live.")
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/Accusations.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/FailedProbeReports.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** Counts, for each VM that did not answer, how many VMs probed it in vain. */
-final class Accusations {
+final class FailedProbeReports {
     private static final int ACCUSERS_NEEDED = 3;
     private static final int ACCUSERS_AT_LEAST = 2;
 
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberTable.java
@@ -1,7 +1,6 @@
 package io.coppershelf.membership.internal;
 
 import io.coppershelf.membership.Vm;
-import io.coppershelf.membership.internal.MembershipEvent.Listed;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -215,7 +214,7 @@
      *
      * @return what to tell
      */
-    List<String> applyList(Listed fresher, long nowNanos) {
+    List<String> applyList(MembershipEvent.ListReceived fresher, long nowNanos) {
         List<String> told = new ArrayList<>();
         if (fresher.revision() <= listRevision) {
             return told;
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipAction.java
@@ -8,7 +8,7 @@
     record Probe(Vm target) implements MembershipAction {}
 
     /** Ask the witness to probe the target. */
-    record ProbeThrough(Vm witness, Vm target) implements MembershipAction {}
+    record IndirectProbe(Vm witness, Vm target) implements MembershipAction {}
 
     /** Ask the VM for all that it knows. */
     record Pull(Vm target) implements MembershipAction {}
@@ -20,11 +20,11 @@
     record Join() implements MembershipAction {}
 
     /** Tell the VM that this one leaves. */
-    record TellLeaving(Vm target) implements MembershipAction {}
+    record SendLeave(Vm target) implements MembershipAction {}
 
     /** Publish the view, which has changed. */
     record Publish() implements MembershipAction {}
 
     /** Record a change on the time line. */
-    record Told(String text) implements MembershipAction {}
+    record RecordChange(String text) implements MembershipAction {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
@@ -3,20 +3,12 @@
 import io.coppershelf.membership.Vm;
 import io.coppershelf.membership.internal.MembershipAction.Join;
 import io.coppershelf.membership.internal.MembershipAction.Probe;
-import io.coppershelf.membership.internal.MembershipAction.ProbeThrough;
 import io.coppershelf.membership.internal.MembershipAction.Publish;
 import io.coppershelf.membership.internal.MembershipAction.Pull;
-import io.coppershelf.membership.internal.MembershipAction.TellLeaving;
-import io.coppershelf.membership.internal.MembershipAction.Told;
 import io.coppershelf.membership.internal.MembershipEvent.Introduced;
-import io.coppershelf.membership.internal.MembershipEvent.LeaveBegun;
-import io.coppershelf.membership.internal.MembershipEvent.LeaveHeard;
-import io.coppershelf.membership.internal.MembershipEvent.Listed;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
-import io.coppershelf.membership.internal.MembershipEvent.UpdatesHeard;
-import io.coppershelf.membership.internal.MembershipEvent.VerdictHeard;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -50,7 +42,7 @@
 
     private final MemberTable table;
     private final GossipQueue gossip = new GossipQueue();
-    private final Accusations accusations = new Accusations();
+    private final FailedProbeReports accusations = new FailedProbeReports();
     private final Random random;
     private final ProbeOrder liveOrder;
     private final ProbeOrder goneOrder;
@@ -152,17 +144,17 @@
             answered(answered, nowNanos, actions);
         } else if (event instanceof ProbeFailed failed) {
             failed(failed, nowNanos, actions);
-        } else if (event instanceof VerdictHeard verdict) {
+        } else if (event instanceof MembershipEvent.IndirectProbeEnded verdict) {
             verdictHeard(verdict, nowNanos, actions);
-        } else if (event instanceof UpdatesHeard heard) {
+        } else if (event instanceof MembershipEvent.UpdatesReceived heard) {
             heard.updates().forEach(update -> merge(update, nowNanos, actions));
         } else if (event instanceof Introduced introduced) {
             introduced(introduced.sender(), actions);
-        } else if (event instanceof Listed listed) {
+        } else if (event instanceof MembershipEvent.ListReceived listed) {
             listed(listed, nowNanos, actions);
-        } else if (event instanceof LeaveHeard leave) {
+        } else if (event instanceof MembershipEvent.LeaveReceived leave) {
             leaveHeard(leave, actions);
-        } else if (event instanceof LeaveBegun) {
+        } else if (event instanceof MembershipEvent.LeaveStarted) {
             leaveBegun(actions);
         }
     }
@@ -197,7 +189,8 @@
     private void afterPause(long nowNanos, List<MembershipAction> actions) {
         judgesFromNanos = nowNanos + JUDGEMENT_DELAY_NANOS;
         accusations.clearAll();
-        actions.add(new Told("This VM was paused for " + (nowNanos - lastTickNanos) / 1_000_000 + " ms."));
+        actions.add(new MembershipAction.RecordChange(
+                "This VM was paused for " + (nowNanos - lastTickNanos) / 1_000_000 + " ms."));
     }
 
     private void confirmSuspects(long nowNanos, List<MembershipAction> actions) {
@@ -251,10 +244,12 @@
         accusations.begin(event.target(), self.vm().id());
         List<Vm> witnesses = table.answeringOthers(event.target().id());
         Collections.shuffle(witnesses, random);
-        witnesses.stream().limit(WITNESSES).forEach(witness -> actions.add(new ProbeThrough(witness, event.target())));
+        witnesses.stream()
+                .limit(WITNESSES)
+                .forEach(witness -> actions.add(new MembershipAction.IndirectProbe(witness, event.target())));
     }
 
-    private void verdictHeard(VerdictHeard event, long nowNanos, List<MembershipAction> actions) {
+    private void verdictHeard(MembershipEvent.IndirectProbeEnded event, long nowNanos, List<MembershipAction> actions) {
         if (event.isReached()) {
             accusations.clear(event.target().id());
             return;
@@ -282,8 +277,8 @@
         }
     }
 
-    private void listed(Listed event, long nowNanos, List<MembershipAction> actions) {
-        table.applyList(event, nowNanos).forEach(text -> actions.add(new Told(text)));
+    private void listed(MembershipEvent.ListReceived event, long nowNanos, List<MembershipAction> actions) {
+        table.applyList(event, nowNanos).forEach(text -> actions.add(new MembershipAction.RecordChange(text)));
         event.vms().stream()
                 .filter(vm -> vm.id().equals(self.vm().id()) && vm.leaving() && isThisIncarnation(vm))
                 .findAny()
@@ -294,13 +289,13 @@
         return vm.incarnation() == self.vm().incarnation();
     }
 
-    private void leaveHeard(LeaveHeard event, List<MembershipAction> actions) {
+    private void leaveHeard(MembershipEvent.LeaveReceived event, List<MembershipAction> actions) {
         table.member(event.id())
                 .filter(member -> member.update().vm().incarnation() == event.incarnation())
                 .flatMap(table::markLeaving)
                 .ifPresent(text -> {
                     gossip.add(table.require(event.id()).update());
-                    actions.add(new Told(text));
+                    actions.add(new MembershipAction.RecordChange(text));
                 });
     }
 
@@ -309,7 +304,7 @@
         gossip.add(self);
         List<Vm> told = table.liveVms();
         Collections.shuffle(told, random);
-        told.stream().limit(TOLD_OF_LEAVING).forEach(vm -> actions.add(new TellLeaving(vm)));
+        told.stream().limit(TOLD_OF_LEAVING).forEach(vm -> actions.add(new MembershipAction.SendLeave(vm)));
     }
 
     private void merge(MemberUpdate update, long nowNanos, List<MembershipAction> actions) {
@@ -320,7 +315,7 @@
         table.merge(update, nowNanos).ifPresent(text -> {
             gossip.add(table.require(update.vm().id()).update());
             if (!text.isEmpty()) {
-                actions.add(new Told(text));
+                actions.add(new MembershipAction.RecordChange(text));
             }
         });
     }
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
@@ -6,12 +6,9 @@
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.membership.internal.MembershipEvent.Introduced;
-import io.coppershelf.membership.internal.MembershipEvent.LeaveHeard;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
-import io.coppershelf.membership.internal.MembershipEvent.UpdatesHeard;
-import io.coppershelf.membership.internal.MembershipEvent.VerdictHeard;
 import io.coppershelf.membership.internal.MembershipMessages.JoinRequest;
 import io.coppershelf.membership.internal.MembershipMessages.LeaveMessage;
 import io.coppershelf.membership.internal.MembershipMessages.ListReply;
@@ -19,7 +16,6 @@
 import io.coppershelf.membership.internal.MembershipMessages.Ping;
 import io.coppershelf.membership.internal.MembershipMessages.PingReply;
 import io.coppershelf.membership.internal.MembershipMessages.ProbeRequest;
-import io.coppershelf.membership.internal.MembershipMessages.ProbeVerdict;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.peer.PeerExchange.Replies;
@@ -78,20 +74,20 @@
         exchange.register(MembershipMessages.PROBE_REQUEST, this::probeRequested);
         exchange.register(
                 MembershipMessages.LEAVE,
-                (sender, leave, replies) -> post(new LeaveHeard(sender, leave.incarnation())));
+                (sender, leave, replies) -> post(new MembershipEvent.LeaveReceived(sender, leave.incarnation())));
         control.every(Duration.ofMillis(MembershipDecisions.TICK_MILLIS), () -> on(new Tick()));
     }
 
     /** Takes in a list of the platform. */
     public void onList(PublishedVms list) {
-        post(new MembershipEvent.Listed(list.revision(), list.vms()));
+        post(new MembershipEvent.ListReceived(list.revision(), list.vms()));
     }
 
     /** Tells the peers that this VM leaves. */
     public void leave() {
         control.execute(() -> {
             if (!decisions.self().vm().leaving()) {
-                on(new MembershipEvent.LeaveBegun());
+                on(new MembershipEvent.LeaveStarted());
             }
         });
     }
@@ -107,7 +103,7 @@
     private void perform(MembershipAction action) {
         if (action instanceof MembershipAction.Probe probe) {
             probe(probe.target());
-        } else if (action instanceof MembershipAction.ProbeThrough through) {
+        } else if (action instanceof MembershipAction.IndirectProbe through) {
             probeThrough(through);
         } else if (action instanceof MembershipAction.Pull pull) {
             pull(pull.target());
@@ -118,11 +114,11 @@
             seeds.stream()
                     .filter(seed -> !seed.host().equals(self.host()) || seed.peerPort() != self.peerPort())
                     .forEach(seed -> pull(new Vm("", 0, "", seed.host(), seed.peerPort(), 0, false)));
-        } else if (action instanceof MembershipAction.TellLeaving told) {
+        } else if (action instanceof MembershipAction.SendLeave told) {
             exchange.send(told.target(), new LeaveMessage(decisions.self().vm().incarnation()));
         } else if (action instanceof MembershipAction.Publish) {
             source.publish(decisions.view());
-        } else if (action instanceof MembershipAction.Told told) {
+        } else if (action instanceof MembershipAction.RecordChange told) {
             logger.atInfo().log("[membership] %s", told.text());
             timeline.record(Timeline.Event.of("membership", told.text()));
         }
@@ -139,12 +135,14 @@
         });
     }
 
-    private void probeThrough(MembershipAction.ProbeThrough through) {
+    private void probeThrough(MembershipAction.IndirectProbe through) {
         long began = time.nanos();
         Vm target = through.target();
         request(through.witness(), new ProbeRequest(target), VERDICT_TIMEOUT, reply -> {
-            if (reply instanceof PeerReply.Received received && received.message() instanceof ProbeVerdict verdict) {
-                on(new VerdictHeard(target, through.witness().id(), verdict.isReached(), began));
+            if (reply instanceof PeerReply.Received received
+                    && received.message() instanceof MembershipMessages.ProbeResult verdict) {
+                on(new MembershipEvent.IndirectProbeEnded(
+                        target, through.witness().id(), verdict.isReached(), began));
             }
         });
     }
@@ -160,7 +158,7 @@
     private void pullList(Vm target) {
         request(target, new ListRequest(), JOIN_TIMEOUT, reply -> {
             if (reply instanceof PeerReply.Received received && received.message() instanceof ListReply list) {
-                on(new MembershipEvent.Listed(list.revision(), list.vms()));
+                on(new MembershipEvent.ListReceived(list.revision(), list.vms()));
             }
         });
     }
@@ -206,7 +204,7 @@
     private void heard(MemberUpdate sender, List<MemberUpdate> updates) {
         boolean isLive = decisions.isLive(sender.vm());
         if (isLive) {
-            on(new UpdatesHeard(sender.vm().id(), updates));
+            on(new MembershipEvent.UpdatesReceived(sender.vm().id(), updates));
         }
         on(new Introduced(sender));
     }
@@ -227,7 +225,7 @@
                 target,
                 ping,
                 PROBE_TIMEOUT,
-                reply -> replies.reply(new ProbeVerdict(
+                reply -> replies.reply(new MembershipMessages.ProbeResult(
                         reply instanceof PeerReply.Received received && answered(received.message()))));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipMessages.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipMessages.java
@@ -39,11 +39,11 @@
             (request, packer) -> VmFields.write(packer, request.target()),
             unpacker -> new ProbeRequest(VmFields.read(unpacker)));
 
-    static final PeerMessageCodec<ProbeVerdict> PROBE_VERDICT = new FunctionCodec<>(
+    static final PeerMessageCodec<MembershipMessages.ProbeResult> PROBE_VERDICT = new FunctionCodec<>(
             5,
-            ProbeVerdict.class,
+            MembershipMessages.ProbeResult.class,
             (verdict, packer) -> packer.packBoolean(verdict.isReached()),
-            unpacker -> new ProbeVerdict(unpacker.unpackBoolean()));
+            unpacker -> new MembershipMessages.ProbeResult(unpacker.unpackBoolean()));
 
     static final PeerMessageCodec<JoinRequest> JOIN_REQUEST = new FunctionCodec<>(
             6,
@@ -94,7 +94,7 @@
     record ProbeRequest(Vm target) implements PeerMessage {}
 
     /** Tells whether the target answered the probe of the sender. */
-    record ProbeVerdict(boolean isReached) implements PeerMessage {}
+    record ProbeResult(boolean isReached) implements PeerMessage {}
 
     /** Asks for all statements of the receiver and introduces the sender. */
     record JoinRequest(MemberUpdate sender) implements PeerMessage {}
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/ListReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/VmListReader.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** Reads the platform's list of VMs again and again; the calls of the whole fleet stay under a fixed rate. */
-public final class ListReader {
+public final class VmListReader {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long SHORTEST_INTERVAL_MILLIS = 5_000;
     private static final long INTERVAL_MILLIS_PER_VM = 10;
@@ -29,7 +29,7 @@
      * @param listener hears each list on the control thread
      * @param seed the seed of the spread of the calls in time
      */
-    public ListReader(
+    public VmListReader(
             Platform platform,
             ControlThread control,
             FleetView.Source fleet,
--- a/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetch.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetcher.java
@@ -11,14 +11,14 @@
  * Fetches a configuration that was announced: from the platform, else from another VM, and again after a pause until it
  * is in force. Not safe for several threads.
  */
-final class ConfigurationFetch {
+final class ConfigurationFetcher {
     /** Pause before a configuration that could not be read is read again; it doubles each time. */
     static final long FIRST_PAUSE_MILLIS = 150;
     /** Longest such pause, well under the time in which a change has to be in force. */
     static final long LONGEST_PAUSE_MILLIS = 1200;
 
     private final CatalogReader reader;
-    private final PeerCatalog peers;
+    private final SnapshotSource peers;
     private final Timer timer;
     private final LongSupplier inForce;
     private final Consumer<FleetConfiguration> onRead;
@@ -39,9 +39,9 @@
      * @param inForce the revision of the configuration in force, 0 if there is none
      * @param onRead takes a configuration that was read; older ones than that in force must be ignored there
      */
-    ConfigurationFetch(
+    ConfigurationFetcher(
             CatalogReader reader,
-            PeerCatalog peers,
+            SnapshotSource peers,
             Timer timer,
             LongSupplier inForce,
             Consumer<FleetConfiguration> onRead,
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetEvidence.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetObservations.java
@@ -1,12 +1,12 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.BeliefTable;
+import io.coppershelf.belief.HealthEstimate;
+import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.belief.Observation;
-import io.coppershelf.belief.ServerBelief;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.ServerList;
 import io.coppershelf.dispatch.FleetLoad;
-import io.coppershelf.dispatch.ServiceSpread;
+import io.coppershelf.dispatch.IdleServerTracker;
 import java.util.Set;
 import java.util.stream.Collectors;
 
@@ -18,10 +18,10 @@
  * @param load the requests of other VMs under way at each server
  * @param spread which servers had requests of late
  */
-public record FleetEvidence(BeliefTable beliefs, FleetLoad load, ServiceSpread spread) {
+public record FleetObservations(HealthEstimates beliefs, FleetLoad load, IdleServerTracker spread) {
     /** Returns an empty one. */
-    public static FleetEvidence create() {
-        return new FleetEvidence(new BeliefTable(), new FleetLoad(), new ServiceSpread());
+    public static FleetObservations create() {
+        return new FleetObservations(new HealthEstimates(), new FleetLoad(), new IdleServerTracker());
     }
 
     /**
@@ -30,8 +30,8 @@
      * @param source the VM that saw it
      * @return whether it is news for the fleet
      */
-    boolean observe(String serverKey, Observation observation, String source, StateLog log, long nowNanos) {
-        ServerBelief before = beliefs.estimate(serverKey, nowNanos);
+    boolean observe(String serverKey, Observation observation, String source, StateChangeLog log, long nowNanos) {
+        HealthEstimate before = beliefs.estimate(serverKey, nowNanos);
         boolean isNews = beliefs.observe(serverKey, observation, nowNanos);
         log.estimateChanged(serverKey, before, beliefs.estimate(serverKey, nowNanos), source, observation, nowNanos);
         return isNews;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
@@ -10,7 +10,7 @@
 import io.coppershelf.catalog.ServerList;
 import io.coppershelf.eventlog.EventLog;
 import io.coppershelf.eventlog.Fields;
-import io.coppershelf.proxy.TrafficState;
+import io.coppershelf.proxy.ControlState;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -22,7 +22,7 @@
  * The control state of this VM: catalog, beliefs and membership. Changed by the control thread alone; what the traffic
  * thread reads is published through volatile fields.
  */
-public final class FleetState implements TrafficState {
+public final class FleetState implements ControlState {
     private static final long TICK_MILLIS = 50;
     /** Every how many ticks a VM tells another one who is there. */
     private static final int TICKS_PER_MEMBERS = 8;
@@ -35,15 +35,15 @@
 
     private final EventLoop loop;
     private final CatalogReader reader;
-    private final FleetEvidence evidence;
-    private final LoadReport loadReport = new LoadReport();
+    private final FleetObservations evidence;
+    private final LoadReporter loadReport = new LoadReporter();
     private final Membership membership;
-    private final ReadingSchedule schedule;
+    private final PlatformReadSchedule schedule;
     private final EventLog log;
-    private final StateLog stateLog;
+    private final StateChangeLog stateLog;
     private final RemovalGrace grace = new RemovalGrace();
-    private final PeerCatalog peers;
-    private final ConfigurationFetch configurationFetch;
+    private final SnapshotSource peers;
+    private final ConfigurationFetcher configurationFetch;
     private Optional<MeshSocket> socket = Optional.empty();
     private boolean isReading;
     private boolean isAskingPeer;
@@ -61,7 +61,7 @@
     public FleetState(
             EventLoop loop,
             CatalogReader reader,
-            FleetEvidence evidence,
+            FleetObservations evidence,
             Membership membership,
             Random random,
             EventLog log) {
@@ -69,11 +69,11 @@
         this.reader = reader;
         this.evidence = evidence;
         this.membership = membership;
-        schedule = new ReadingSchedule(random);
+        schedule = new PlatformReadSchedule(random);
         this.log = log;
-        stateLog = new StateLog(log);
+        stateLog = new StateChangeLog(log);
         peers = new SnapshotClient(loop, () -> membership.randomLive(now()));
-        configurationFetch = new ConfigurationFetch(
+        configurationFetch = new ConfigurationFetcher(
                 reader,
                 peers,
                 (millis, action) -> loop.schedule(action, millis, TimeUnit.MILLISECONDS),
@@ -123,7 +123,8 @@
         loop.execute(() -> {
             String key = server.key();
             if (observe(key, observation, "own request")) {
-                socket.ifPresent(open -> open.send(membership.live(now()), new MeshMessage.Evidence(key, observation)));
+                socket.ifPresent(
+                        open -> open.send(membership.live(now()), new MeshMessage.ServerObservation(key, observation)));
             }
         });
     }
@@ -199,16 +200,16 @@
             if (hasNew || members.wantsReply()) {
                 send(sender, new MeshMessage.Members(membership.nextEntries(hasNew, now()), false));
             }
-        } else if (message instanceof MeshMessage.Evidence outcome) {
+        } else if (message instanceof MeshMessage.ServerObservation outcome) {
             observe(outcome.serverKey(), outcome.observation(), sender.toString());
         } else if (message instanceof MeshMessage.Load load) {
             evidence.recordLoad(sender, load, now());
-        } else if (message instanceof MeshMessage.CatalogNews news) {
+        } else if (message instanceof MeshMessage.CatalogUpdate news) {
             takeNews(news);
         }
     }
 
-    private void takeNews(MeshMessage.CatalogNews news) {
+    private void takeNews(MeshMessage.CatalogUpdate news) {
         configurationFetch.announced(news.configurationRevision());
         long known = registered.revision();
         CatalogChange change = news.change();
@@ -329,7 +330,7 @@
             if (change.since() == 0) {
                 return;
             }
-            MeshMessage.CatalogNews news = MeshMessage.CatalogNews.of(before, change, configurationRevision());
+            MeshMessage.CatalogUpdate news = MeshMessage.CatalogUpdate.of(before, change, configurationRevision());
             socket.ifPresent(open -> open.send(membership.live(now()), news));
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/LoadReport.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/LoadReporter.java
@@ -13,7 +13,7 @@
  * Decides when this VM tells the fleet of its requests at servers: a new request soon, since other VMs may choose the
  * same slot; an ended one with the next message, or a little later. Pure; not safe for several threads.
  */
-final class LoadReport {
+final class LoadReporter {
     /** Longest time for which a new request stays untold; two VMs rarely choose the same server within it. */
     private static final long BEGIN_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
     /** Longest time for which an ended request stays untold, a fraction of a usual request. */
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
@@ -48,9 +48,10 @@
                 case MEMBERS ->
                     new MeshMessage.Members(
                             MessageFields.readList(unpacker, MeshCodec::readMember), unpacker.unpackBoolean());
-                case EVIDENCE -> new MeshMessage.Evidence(unpacker.unpackString(), observation(unpacker.unpackInt()));
+                case EVIDENCE ->
+                    new MeshMessage.ServerObservation(unpacker.unpackString(), observation(unpacker.unpackInt()));
                 case CATALOG_NEWS ->
-                    new MeshMessage.CatalogNews(
+                    new MeshMessage.CatalogUpdate(
                             unpacker.unpackLong(),
                             unpacker.unpackLong(),
                             unpacker.unpackLong(),
@@ -73,7 +74,7 @@
             packer.packInt(MEMBERS);
             MessageFields.writeList(packer, members.members(), MeshCodec::writeMember);
             packer.packBoolean(members.wantsReply());
-        } else if (message instanceof MeshMessage.Evidence evidence) {
+        } else if (message instanceof MeshMessage.ServerObservation evidence) {
             packer.packInt(EVIDENCE);
             packer.packString(evidence.serverKey());
             packer.packInt(evidence.observation().code());
@@ -81,7 +82,7 @@
             packer.packInt(LOAD);
             MessageFields.writeList(packer, load.serverCodes(), MessagePacker::packLong);
             MessageFields.writeList(packer, load.inFlight(), MessagePacker::packInt);
-        } else if (message instanceof MeshMessage.CatalogNews news) {
+        } else if (message instanceof MeshMessage.CatalogUpdate news) {
             packer.packInt(CATALOG_NEWS);
             packer.packLong(news.since());
             packer.packLong(news.revision());
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
@@ -23,7 +23,7 @@
      *
      * @param serverKey the server and its incarnation
      */
-    record Evidence(String serverKey, Observation observation) implements MeshMessage {}
+    record ServerObservation(String serverKey, Observation observation) implements MeshMessage {}
 
     /**
      * The requests that the sender has at servers.
@@ -43,7 +43,7 @@
      * @param changed servers that are new or report something else
      * @param removed ids of servers that are gone
      */
-    record CatalogNews(
+    record CatalogUpdate(
             long since,
             long revision,
             long configurationRevision,
@@ -56,13 +56,13 @@
          *
          * @param before the list that the change was applied to
          */
-        static CatalogNews of(ServerList before, CatalogChange change, long configurationRevision) {
+        static MeshMessage.CatalogUpdate of(ServerList before, CatalogChange change, long configurationRevision) {
             List<BackendServer> changed = change.changed().stream()
                     .filter(server -> before.server(server.id())
                             .filter(known -> known.isSameForRouting(server))
                             .isEmpty())
                     .toList();
-            return new CatalogNews(
+            return new MeshMessage.CatalogUpdate(
                     change.since(),
                     change.revision(),
                     configurationRevision,
--- a/coppershelf/src/main/java/io/coppershelf/mesh/ReadingSchedule.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/PlatformReadSchedule.java
@@ -9,7 +9,7 @@
  * VMs in a shared order wait the least, so that one or two of them read for the whole fleet and the rest hear from
  * them. A VM that hears from nobody reads by itself, still in time for the bounds. Pure; not safe for several threads.
  */
-public final class ReadingSchedule {
+public final class PlatformReadSchedule {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     /** The age at which the first VM reads; a fifth of the two seconds in which a change has to be in force. */
     private static final long FIRST_AGE_NANOS = 350 * MILLI;
@@ -35,7 +35,7 @@
     private long spreadNanos;
 
     /** Creates a schedule whose first reading is due at once. */
-    public ReadingSchedule(Random random) {
+    public PlatformReadSchedule(Random random) {
         this.random = random;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotClient.java
@@ -20,7 +20,7 @@
 import java.util.function.Supplier;
 
 /** Reads snapshots of other VMs over TCP, on the control thread. */
-final class SnapshotClient implements PeerCatalog {
+final class SnapshotClient implements SnapshotSource {
     /** Longest wait for a connection; a VM of the fleet answers within milliseconds. */
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
     /** Longest wait for the whole snapshot, from the begin of the connection. */
--- a/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotCodec.java
@@ -5,8 +5,8 @@
 import io.coppershelf.catalog.FleetConfiguration;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.Route;
-import io.coppershelf.catalog.RoutePart;
 import io.coppershelf.catalog.RouteTable;
+import io.coppershelf.catalog.WeightedService;
 import io.coppershelf.peer.MessageFields;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -125,7 +125,7 @@
                 readDuration(unpacker),
                 unpacker.unpackInt(),
                 unpacker.unpackInt(),
-                MessageFields.readList(unpacker, u -> new RoutePart(u.unpackString(), u.unpackDouble())));
+                MessageFields.readList(unpacker, u -> new WeightedService(u.unpackString(), u.unpackDouble())));
     }
 
     private static void writeDuration(MessagePacker packer, Duration duration) throws IOException {
--- a/coppershelf/src/main/java/io/coppershelf/mesh/StateLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/StateChangeLog.java
@@ -1,7 +1,7 @@
 package io.coppershelf.mesh;
 
+import io.coppershelf.belief.HealthEstimate;
 import io.coppershelf.belief.Observation;
-import io.coppershelf.belief.ServerBelief;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.ServerList;
@@ -12,10 +12,10 @@
 import java.util.Optional;
 
 /** Writes a log line for each change of what this VM believes. */
-final class StateLog {
+final class StateChangeLog {
     private final EventLog log;
 
-    StateLog(EventLog log) {
+    StateChangeLog(EventLog log) {
         this.log = log;
     }
 
@@ -26,8 +26,8 @@
      */
     void estimateChanged(
             String serverKey,
-            ServerBelief before,
-            ServerBelief after,
+            HealthEstimate before,
+            HealthEstimate after,
             String source,
             Observation observation,
             long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
@@ -1,6 +1,6 @@
 package io.coppershelf.operator;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 
 /**
  * A hybrid logical clock: its stamps order events over all processes as cause before effect, and stay close to wall
@@ -11,7 +11,7 @@
  *     Consistent Snapshots in Globally Distributed Databases, 2014</a>
  */
 public interface HybridClock {
-    ServiceName<HybridClock> NAME = ServiceName.named("clock", HybridClock.class);
+    ComponentKey<HybridClock> NAME = ComponentKey.named("clock", HybridClock.class);
 
     /** The number of bits of the counter. */
     int COUNTER_BITS = 16;
--- a/coppershelf/src/main/java/io/coppershelf/operator/Logging.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/Logging.java
@@ -1,7 +1,7 @@
 package io.coppershelf.operator;
 
-import io.coppershelf.operator.internal.LastingLogManager;
 import io.coppershelf.operator.internal.LineHandler;
+import io.coppershelf.operator.internal.ShutdownSafeLogManager;
 import java.io.OutputStream;
 import java.util.logging.Level;
 import java.util.logging.LogManager;
@@ -15,7 +15,7 @@
 
     /** Chooses the log manager of the process; to be called before anything is logged. */
     public static void prepare() {
-        System.setProperty(MANAGER_PROPERTY, LastingLogManager.class.getName());
+        System.setProperty(MANAGER_PROPERTY, ShutdownSafeLogManager.class.getName());
     }
 
     /** Sends all records of level {@code INFO} and above to the stream until the process ends. */
@@ -24,6 +24,6 @@
         Logger root = Logger.getLogger("");
         root.setLevel(Level.INFO);
         root.addHandler(new LineHandler(out));
-        LastingLogManager.keepHandlers();
+        ShutdownSafeLogManager.keepHandlers();
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorComponent.java
@@ -1,11 +1,11 @@
 package io.coppershelf.operator;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
-import io.coppershelf.operator.internal.Desk;
+import io.coppershelf.operator.internal.DefaultOperatorRegistry;
 import io.coppershelf.operator.internal.FleetStatus;
 import io.coppershelf.operator.internal.HybridLogicalClock;
 import io.coppershelf.operator.internal.OperatorServer;
@@ -24,11 +24,11 @@
  * The part that operators talk to. Needs {@link Settings} in the registry before {@link #register}; it should be the
  * first part to start and the last to stop.
  */
-public final class OperatorPart implements Part {
+public final class OperatorComponent implements Component {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int TIMELINE_CAPACITY = 4096;
 
-    private final Desk desk = new Desk();
+    private final DefaultOperatorRegistry desk = new DefaultOperatorRegistry();
     private Optional<OperatorServer> server = Optional.empty();
     private Optional<StatusPages> pages = Optional.empty();
 
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         Settings settings = registry.require(Settings.NAME);
         HybridClock clock =
                 new HybridLogicalClock(registry.find(TimeSource.NAME).orElseGet(TimeSource::system));
         TimelineBuffer timeline = new TimelineBuffer(clock, settings.vm(), TIMELINE_CAPACITY);
-        registry.register(OperatorDesk.NAME, desk);
+        registry.register(OperatorRegistry.NAME, desk);
         registry.register(HybridClock.NAME, clock);
         registry.register(Timeline.NAME, timeline);
         pages = Optional.of(new StatusPages(settings.vm(), settings.dataCentre(), desk));
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         Optional<Configuration.Source> configurations = registry.find(Configuration.Source.NAME);
         Optional<FleetView.Source> fleet = registry.find(FleetView.Source.NAME);
         if (configurations.isPresent() && fleet.isPresent()) {
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorDesk.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorRegistry.java
@@ -1,15 +1,15 @@
 package io.coppershelf.operator;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.BooleanSupplier;
 
 /** Where parts register what operators see of them. Safe for use by several threads. */
-public interface OperatorDesk {
-    ServiceName<OperatorDesk> NAME = ServiceName.named("operator", OperatorDesk.class);
+public interface OperatorRegistry {
+    ComponentKey<OperatorRegistry> NAME = ComponentKey.named("operator", OperatorRegistry.class);
 
     /** Registers a part's contribution to {@code GET /status}. */
-    void addStatus(StatusSource source);
+    void addStatus(StatusContributor source);
 
     /** Registers a condition that must hold for {@code GET /ready} to answer 200. */
     void addReadiness(String name, BooleanSupplier condition);
--- a/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
@@ -1,11 +1,11 @@
 package io.coppershelf.operator;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import java.util.Optional;
 
 /** Takes the events of this process for the time line over all processes. Safe for use by several threads. */
 public interface Timeline {
-    ServiceName<Timeline> NAME = ServiceName.named("timeline", Timeline.class);
+    ComponentKey<Timeline> NAME = ComponentKey.named("timeline", Timeline.class);
 
     /** Records an event. */
     void record(Event event);
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/Desk.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/DefaultOperatorRegistry.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.operator.OperatorDesk;
-import io.coppershelf.operator.StatusSource;
+import io.coppershelf.operator.OperatorRegistry;
+import io.coppershelf.operator.StatusContributor;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.List;
 import java.util.Map;
@@ -13,20 +13,20 @@
 import java.util.function.BooleanSupplier;
 
 /** Keeps what the parts have registered for operators. */
-public final class Desk implements OperatorDesk {
+public final class DefaultOperatorRegistry implements OperatorRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    private final List<StatusSource> sources = new CopyOnWriteArrayList<>();
+    private final List<StatusContributor> sources = new CopyOnWriteArrayList<>();
     private final Map<String, BooleanSupplier> conditions = new ConcurrentHashMap<>();
     private final PrometheusRegistry metrics = new PrometheusRegistry();
 
     /** Creates a desk whose metrics tell of the process itself. */
-    public Desk() {
+    public DefaultOperatorRegistry() {
         ProcessMetrics.register(metrics);
     }
 
     @Override
-    public void addStatus(StatusSource source) {
+    public void addStatus(StatusContributor source) {
         sources.add(source);
     }
 
@@ -42,7 +42,7 @@
 
     /** Lets each part add to the document; a part that fails leaves the others in place. */
     void describe(ObjectNode status) {
-        for (StatusSource source : sources) {
+        for (StatusContributor source : sources) {
             try {
                 source.describe(status);
             } catch (RuntimeException e) {
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/OperatorServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/OperatorServer.java
@@ -32,7 +32,7 @@
 
     private final String vm;
     private final StatusPages pages;
-    private final Desk desk;
+    private final DefaultOperatorRegistry desk;
     private final TimelineBuffer timeline;
     private final HybridClock clock;
     private final PrometheusTextFormatWriter metricsWriter = PrometheusTextFormatWriter.create();
@@ -53,7 +53,7 @@
             InetSocketAddress address,
             String vm,
             StatusPages pages,
-            Desk desk,
+            DefaultOperatorRegistry desk,
             TimelineBuffer timeline,
             HybridClock clock)
             throws IOException {
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/StatusPages.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/StatusPages.java
@@ -11,7 +11,7 @@
 public final class StatusPages {
     private final String vm;
     private final String dataCentre;
-    private final Desk desk;
+    private final DefaultOperatorRegistry desk;
     private volatile Optional<FleetStatus> fleet = Optional.empty();
 
     /**
@@ -21,7 +21,7 @@
      * @param dataCentre its data centre
      * @param desk what the parts have registered
      */
-    public StatusPages(String vm, String dataCentre, Desk desk) {
+    public StatusPages(String vm, String dataCentre, DefaultOperatorRegistry desk) {
         this.vm = vm;
         this.dataCentre = dataCentre;
         this.desk = desk;
--- a/coppershelf/src/main/java/io/coppershelf/peer/LinkFilter.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/LinkFilter.java
@@ -1,13 +1,13 @@
 package io.coppershelf.peer;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 
 /**
  * Asked before each message is sent and when one is received; tests cut links with it, in one direction if they like.
  */
 @FunctionalInterface
 public interface LinkFilter {
-    ServiceName<LinkFilter> NAME = ServiceName.named("link-filter", LinkFilter.class);
+    ComponentKey<LinkFilter> NAME = ComponentKey.named("link-filter", LinkFilter.class);
 
     /** The filter of the product: every message passes. */
     LinkFilter ALL = (from, to) -> true;
--- a/coppershelf/src/main/java/io/coppershelf/peer/PeerPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/PeerComponent.java
@@ -1,11 +1,11 @@
 package io.coppershelf.peer;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.operator.HybridClock;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.peer.internal.NioPeerExchange;
 import io.coppershelf.settings.Settings;
 import java.time.Duration;
@@ -15,7 +15,7 @@
  * The part of the daemon that talks to peers. The settings, the fleet view and the operator desk must be registered
  * before {@link #register} is called on this part, and so must a {@link LinkFilter} where a test wants one.
  */
-public final class PeerPart implements Part {
+public final class PeerComponent implements Component {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private Optional<NioPeerExchange> exchange = Optional.empty();
@@ -26,18 +26,18 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         NioPeerExchange created = new NioPeerExchange(
                 registry.require(FleetView.Source.NAME),
                 registry.find(LinkFilter.NAME).orElse(LinkFilter.ALL),
-                registry.require(OperatorDesk.NAME).metrics(),
+                registry.require(OperatorRegistry.NAME).metrics(),
                 registry.require(Settings.NAME).trafficThreads());
         exchange = Optional.of(created);
         registry.register(PeerExchange.NAME, created);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         Settings settings = registry.require(Settings.NAME);
         registry.find(HybridClock.NAME).ifPresent(exchange.orElseThrow()::useClock);
         int port = exchange.orElseThrow().listen(settings.host(), settings.peerPort());
--- a/coppershelf/src/main/java/io/coppershelf/peer/PeerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/PeerExchange.java
@@ -1,13 +1,13 @@
 package io.coppershelf.peer;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import io.coppershelf.membership.Vm;
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
 /** Sends messages to peers and hands received ones to their handlers. Safe for use by several threads. */
 public interface PeerExchange {
-    ServiceName<PeerExchange> NAME = ServiceName.named("peer", PeerExchange.class);
+    ComponentKey<PeerExchange> NAME = ComponentKey.named("peer", PeerExchange.class);
 
     /** Registers the codec of a message type that is only ever a reply. */
     void register(PeerMessageCodec<?> codec);
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
@@ -18,17 +18,17 @@
  * One TCP connection between two VMs. Messages are offered by any thread; all else happens on the thread of the
  * selector.
  */
-final class Connection implements SelectorLoop.Ready {
+final class Connection implements SelectorLoop.ChannelHandler {
     private static final int QUEUE_LIMIT_BYTES = 8 * 1024 * 1024;
     private static final int QUEUE_LIMIT_FRAMES = 4096;
 
     private final SelectorLoop loop;
-    private final Events events;
+    private final Connection.Listener events;
     private final Optional<Vm> target;
     private final FrameReader reader = new FrameReader();
     private final FrameWriter writer = new FrameWriter();
-    private final Deque<Outbound> queue = new ArrayDeque<>();
-    private final ConcurrentMap<Long, Outbound> pending = new ConcurrentHashMap<>();
+    private final Deque<OutboundFrame> queue = new ArrayDeque<>();
+    private final ConcurrentMap<Long, OutboundFrame> pending = new ConcurrentHashMap<>();
     private final long openedNanos = System.nanoTime();
     private int queuedBytes;
     private boolean isClosed;
@@ -38,19 +38,20 @@
     private volatile long usedNanos = openedNanos;
     private boolean isRetired;
 
-    private Connection(SelectorLoop loop, Events events, Optional<Vm> target) {
+    private Connection(SelectorLoop loop, Connection.Listener events, Optional<Vm> target) {
         this.loop = loop;
         this.events = events;
         this.target = target;
     }
 
     /** Returns a connection to be opened by this VM; {@link #connect} opens it. */
-    static Connection outgoing(SelectorLoop loop, Events events, Vm target) {
+    static Connection outgoing(SelectorLoop loop, Connection.Listener events, Vm target) {
         return new Connection(loop, events, Optional.of(target));
     }
 
     /** Returns a connection that a peer opened. */
-    static Connection incoming(SelectorLoop loop, Events events, SocketChannel channel) throws IOException {
+    static Connection incoming(SelectorLoop loop, Connection.Listener events, SocketChannel channel)
+            throws IOException {
         Connection connection = new Connection(loop, events, Optional.empty());
         connection.channel = Optional.of(channel);
         configure(channel);
@@ -107,12 +108,12 @@
         return isRetired;
     }
 
-    ConcurrentMap<Long, Outbound> pending() {
+    ConcurrentMap<Long, OutboundFrame> pending() {
         return pending;
     }
 
     /** Queues a frame and returns true, or returns false if the queue is full or the connection closed. */
-    boolean offer(Outbound outbound) {
+    boolean offer(OutboundFrame outbound) {
         synchronized (queue) {
             int size = outbound.frame().remaining();
             if (isClosed || queue.size() >= QUEUE_LIMIT_FRAMES || queuedBytes + size > QUEUE_LIMIT_BYTES) {
@@ -169,10 +170,10 @@
                 return;
             }
             isClosed = true;
-            queue.forEach(Outbound::fail);
+            queue.forEach(OutboundFrame::fail);
             queue.clear();
         }
-        pending.values().forEach(Outbound::fail);
+        pending.values().forEach(OutboundFrame::fail);
         pending.clear();
         channel.ifPresent(Connection::closeQuietly);
         events.closed(this);
@@ -200,7 +201,7 @@
 
     private Optional<ByteBuffer> nextToWrite() {
         synchronized (queue) {
-            for (Outbound next = queue.pollFirst(); next != null; next = queue.pollFirst()) {
+            for (OutboundFrame next = queue.pollFirst(); next != null; next = queue.pollFirst()) {
                 queuedBytes -= next.frame().remaining();
                 if (next.beginWrite(System.nanoTime())) {
                     events.sent(next.frame().remaining());
@@ -256,7 +257,7 @@
     }
 
     /** Hears what happens to connections, on the thread of the selector. */
-    interface Events {
+    interface Listener {
         /** Returns the largest frame that the connection may receive next, in bytes. */
         int frameLimit(Connection connection);
 
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/ConnectionPool.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/ConnectionPool.java
@@ -90,7 +90,7 @@
     }
 
     private void expireRequests(Connection connection, long nowNanos) {
-        for (Outbound request : connection.pending().values()) {
+        for (OutboundFrame request : connection.pending().values()) {
             if (!request.isExpired(nowNanos)) {
                 continue;
             }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
@@ -115,7 +115,7 @@
         long now = System.nanoTime();
         if (!isTooLong(frame) && filter.passes(self().id(), target.id())) {
             pool.connectionTo(target)
-                    .ifPresent(link -> link.offer(Outbound.oneWay(frame, now, now + ONE_WAY_EXPIRY_NANOS)));
+                    .ifPresent(link -> link.offer(OutboundFrame.oneWay(frame, now, now + ONE_WAY_EXPIRY_NANOS)));
         }
     }
 
@@ -132,7 +132,7 @@
             return result.completeOnTimeout(new PeerReply.Lost(), timeout.toNanos(), TimeUnit.NANOSECONDS);
         }
         long now = System.nanoTime();
-        Outbound outbound = Outbound.request(
+        OutboundFrame outbound = OutboundFrame.request(
                 frame, id, now, now + timeout.toNanos(), reply -> traffic.execute(() -> result.complete(reply)));
         if (isTooLong(frame)
                 || !pool.connectionTo(target).map(link -> link.offer(outbound)).orElse(false)) {
@@ -160,10 +160,10 @@
         return connection;
     }
 
-    private Outbound helloTo(String id, long incarnation) {
+    private OutboundFrame helloTo(String id, long incarnation) {
         Hello hello = new Hello(Hello.VERSION, self(), id, incarnation);
         long now = System.nanoTime();
-        return Outbound.oneWay(
+        return OutboundFrame.oneWay(
                 codecs.frame(hello, 0, Envelope.Kind.ONE_WAY, clock.stamp()), now, now + ONE_WAY_EXPIRY_NANOS);
     }
 
@@ -174,7 +174,7 @@
                 .isPresent();
     }
 
-    private Connection.Events events() {
+    private Connection.Listener events() {
         return new ConnectionEvents();
     }
 
@@ -195,7 +195,7 @@
     }
 
     /** Feeds what connections hear to the receiver. */
-    private final class ConnectionEvents implements Connection.Events {
+    private final class ConnectionEvents implements Connection.Listener {
         @Override
         public int frameLimit(Connection connection) {
             if (connection.isHandshakePending()) {
@@ -245,7 +245,7 @@
     }
 
     /** Takes connections of peers. */
-    private final class Acceptor implements SelectorLoop.Ready {
+    private final class Acceptor implements SelectorLoop.ChannelHandler {
         private final ServerSocketChannel channel;
 
         Acceptor(ServerSocketChannel channel) {
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Outbound.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/OutboundFrame.java
@@ -10,7 +10,7 @@
  * A frame on its way out. Whether a byte of it may have left is decided once: by {@link #beginWrite} right before its
  * first write, or by {@link #fail}, whichever is first.
  */
-final class Outbound {
+final class OutboundFrame {
     private enum State {
         QUEUED,
         BEGUN,
@@ -24,7 +24,7 @@
     private final Optional<Consumer<PeerReply>> listener;
     private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
 
-    private Outbound(
+    private OutboundFrame(
             ByteBuffer frame,
             long correlationId,
             long createdNanos,
@@ -38,14 +38,14 @@
     }
 
     /** Returns a frame that expects no reply. */
-    static Outbound oneWay(ByteBuffer frame, long nowNanos, long expiryNanos) {
-        return new Outbound(frame, 0, nowNanos, expiryNanos, Optional.empty());
+    static OutboundFrame oneWay(ByteBuffer frame, long nowNanos, long expiryNanos) {
+        return new OutboundFrame(frame, 0, nowNanos, expiryNanos, Optional.empty());
     }
 
     /** Returns a request whose end the listener hears once. */
-    static Outbound request(
+    static OutboundFrame request(
             ByteBuffer frame, long correlationId, long nowNanos, long expiryNanos, Consumer<PeerReply> listener) {
-        return new Outbound(frame, correlationId, nowNanos, expiryNanos, Optional.of(listener));
+        return new OutboundFrame(frame, correlationId, nowNanos, expiryNanos, Optional.of(listener));
     }
 
     ByteBuffer frame() {
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Receiver.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Receiver.java
@@ -144,7 +144,8 @@
             Connection connection, Envelope envelope, CodecTable.Entry<?> entry, MessageUnpacker unpacker)
             throws IOException {
         PeerMessage message = entry.read(unpacker);
-        Optional<Outbound> request = Optional.ofNullable(connection.pending().remove(envelope.correlationId()));
+        Optional<OutboundFrame> request =
+                Optional.ofNullable(connection.pending().remove(envelope.correlationId()));
         if (request.isEmpty()) {
             metrics.dropped(
                     DropReason.LATE_REPLY, connection.remote().map(Vm::id).orElse(""), "type " + envelope.typeId());
@@ -186,6 +187,6 @@
         }
         ByteBuffer frame = codecs.frame(reply, correlationId, Envelope.Kind.REPLY, clock.stamp());
         long now = System.nanoTime();
-        connection.offer(Outbound.oneWay(frame, now, now + REPLY_EXPIRY_NANOS));
+        connection.offer(OutboundFrame.oneWay(frame, now, now + REPLY_EXPIRY_NANOS));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
@@ -102,7 +102,7 @@
     }
 
     private static void handle(SelectionKey key) {
-        Ready ready = (Ready) key.attachment();
+        SelectorLoop.ChannelHandler ready = (SelectorLoop.ChannelHandler) key.attachment();
         try {
             ready.onReady(key);
         } catch (IOException | CancelledKeyException e) {
@@ -111,7 +111,7 @@
     }
 
     /** What waits for a channel; called on the thread of the loop. */
-    interface Ready {
+    interface ChannelHandler {
         /** Uses the channel as far as it is ready. */
         void onReady(SelectionKey key) throws IOException;
 
--- a/coppershelf/src/main/java/io/coppershelf/platform/Platform.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/Platform.java
@@ -1,6 +1,6 @@
 package io.coppershelf.platform;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import io.coppershelf.membership.Vm;
 import java.time.Duration;
 import java.util.List;
@@ -14,7 +14,7 @@
  * {@code PLATFORM_UNREACHABLE} or {@code PLATFORM_GARBLED}.
  */
 public interface Platform {
-    ServiceName<Platform> NAME = ServiceName.named("platform", Platform.class);
+    ComponentKey<Platform> NAME = ComponentKey.named("platform", Platform.class);
 
     /**
      * Reads the tickets whose position is above the given one, waiting for one if there is none.
--- a/coppershelf/src/main/java/io/coppershelf/platform/PlatformPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/PlatformComponent.java
@@ -1,9 +1,9 @@
 package io.coppershelf.platform;
 
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.TimeSource;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.platform.internal.HttpPlatform;
 import io.coppershelf.settings.Settings;
 import java.time.Duration;
@@ -11,7 +11,7 @@
 import java.util.Random;
 
 /** The part that reads the platform. Needs {@link Settings} in the registry before {@link #register}. */
-public final class PlatformPart implements Part {
+public final class PlatformComponent implements Component {
     private Optional<HttpPlatform> platform = Optional.empty();
 
     @Override
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         Settings settings = registry.require(Settings.NAME);
         TimeSource time = registry.find(TimeSource.NAME).orElseGet(TimeSource::system);
         Random jitter = new Random(settings.vm().hashCode() ^ time.nanos());
@@ -30,8 +30,8 @@
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
-        OperatorDesk desk = registry.require(OperatorDesk.NAME);
+    public void start(ComponentRegistry registry) {
+        OperatorRegistry desk = registry.require(OperatorRegistry.NAME);
         platform.ifPresent(client -> desk.metrics().register(client.calls()));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/proxy/CallerConnection.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/CallerConnection.java
@@ -48,13 +48,13 @@
 
     private final TrafficContext context;
     private final CallerLimits limits;
-    private final RouteGate gate;
+    private final RouteResolver gate;
     private final Deque<CallerRequest> waiting = new ArrayDeque<>();
     private Optional<HttpRequest> head = Optional.empty();
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
     private long headAtNanos;
     private long heldBytes;
-    private Optional<RequestRun> run = Optional.empty();
+    private Optional<RequestExecution> run = Optional.empty();
     private boolean isBusy;
     private boolean isClosing;
     private boolean isReadingStopped;
@@ -65,7 +65,7 @@
     CallerConnection(TrafficContext context, CallerLimits limits) {
         this.context = context;
         this.limits = limits;
-        gate = new RouteGate(context);
+        gate = new RouteResolver(context);
     }
 
     @Override
@@ -167,7 +167,7 @@
         if (route.isEmpty()) {
             return;
         }
-        RequestRun created = new RequestRun(
+        RequestExecution created = new RequestExecution(
                 context, route.get(), context.split().next(route.get()), request, gate.callerTimeout(request), sink);
         run = Optional.of(created);
         created.start();
@@ -247,7 +247,7 @@
         isClosing = true;
         cancelHeadTimer();
         idleTimer.ifPresent(scheduled -> scheduled.cancel(false));
-        run.ifPresent(RequestRun::callerDisconnected);
+        run.ifPresent(RequestExecution::callerDisconnected);
         releaseBodies();
         run = Optional.empty();
         waiting.clear();
--- a/coppershelf/src/main/java/io/coppershelf/proxy/TrafficState.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/ControlState.java
@@ -5,7 +5,7 @@
 import io.coppershelf.catalog.Catalog;
 
 /** What the traffic path is told by the control state, and tells it. Every method may be called by any thread. */
-public interface TrafficState {
+public interface ControlState {
     /** Returns the newest catalog. */
     Catalog catalog();
 
--- a/coppershelf/src/main/java/io/coppershelf/proxy/RequestRun.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
@@ -4,13 +4,13 @@
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.Route;
+import io.coppershelf.dispatch.AttemptAllocator;
 import io.coppershelf.dispatch.ChoiceInputs;
+import io.coppershelf.dispatch.PlanStep;
 import io.coppershelf.dispatch.RequestPlan;
-import io.coppershelf.dispatch.ServerChoice;
-import io.coppershelf.dispatch.Step;
 import io.coppershelf.dispatch.TypicalLatency;
 import io.coppershelf.eventlog.Fields;
-import io.coppershelf.http.HttpLink;
+import io.coppershelf.http.HttpConnection;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -27,7 +27,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Carries out the plan of one request. Runs on the traffic thread. */
-final class RequestRun implements ServerChoice, ServerAttempt.Listener {
+final class RequestExecution implements AttemptAllocator, ServerAttempt.Listener {
     /** Taken off what is left of the caller's time, for the way of the answer. */
     private static final long WAY_BACK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     /**
@@ -56,7 +56,7 @@
     private Optional<ScheduledFuture<?>> timer = Optional.empty();
     private boolean isEnded;
 
-    RequestRun(
+    RequestExecution(
             TrafficContext context,
             Route route,
             String service,
@@ -136,15 +136,15 @@
                 });
     }
 
-    private void carryOut(List<Step> steps) {
-        for (Step step : steps) {
-            if (step instanceof Step.Send send) {
+    private void carryOut(List<PlanStep> steps) {
+        for (PlanStep step : steps) {
+            if (step instanceof PlanStep.Send send) {
                 send(send);
-            } else if (step instanceof Step.ReportStall stall) {
+            } else if (step instanceof PlanStep.ReportStall stall) {
                 attempts.get(stall.attempt()).reportStall();
-            } else if (step instanceof Step.Deliver deliver) {
+            } else if (step instanceof PlanStep.Deliver deliver) {
                 end(deliver);
-            } else if (step instanceof Step.Fail fail) {
+            } else if (step instanceof PlanStep.Fail fail) {
                 end(fail);
             }
         }
@@ -160,7 +160,7 @@
                 .schedule(() -> carryOut(plan.timerExpired(System.nanoTime())), delay, TimeUnit.NANOSECONDS));
     }
 
-    private void send(Step.Send send) {
+    private void send(PlanStep.Send send) {
         ServerAttempt attempt = new ServerAttempt(context, send.attempt(), send.server(), requestId, this);
         attempts.add(attempt);
         long maxIdle = route.kind() == RequestKind.ONCE ? ONCE_IDLE_NANOS : Long.MAX_VALUE;
@@ -179,7 +179,7 @@
         return Math.max(MIN_CONNECTIONS, cap / context.state().fleetSize());
     }
 
-    private void write(ServerAttempt attempt, HttpLink link) {
+    private void write(ServerAttempt attempt, HttpConnection link) {
         long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
         boolean isDrained = context.state()
                 .catalog()
@@ -213,7 +213,7 @@
         return headers;
     }
 
-    private void end(Step.Deliver deliver) {
+    private void end(PlanStep.Deliver deliver) {
         ServerAttempt attempt = attempts.get(deliver.attempt());
         isEnded = true;
         stopOthers();
@@ -226,7 +226,7 @@
         sink.deliver(attempt.answer());
     }
 
-    private void end(Step.Fail fail) {
+    private void end(PlanStep.Fail fail) {
         isEnded = true;
         stopOthers();
         finished(fail.kind().code(), fail.reason(), false);
--- a/coppershelf/src/main/java/io/coppershelf/proxy/RouteGate.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/RouteResolver.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 
 /** Finds the route of a request, or answers it if there is none. */
-final class RouteGate {
+final class RouteResolver {
     private static final Duration STARTING_RETRY_AFTER = Duration.ofMillis(500);
     /** Digits of a deadline that is taken for valid; more would overflow. */
     private static final int MAX_DEADLINE_DIGITS = 12;
 
     private final TrafficContext context;
 
-    RouteGate(TrafficContext context) {
+    RouteResolver(TrafficContext context) {
         this.context = context;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/proxy/ServerAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/ServerAttempt.java
@@ -3,11 +3,11 @@
 import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.dispatch.ChoiceInputs;
-import io.coppershelf.dispatch.ServerUse;
+import io.coppershelf.dispatch.ServerStats;
 import io.coppershelf.eventlog.Fields;
 import io.coppershelf.http.AnswerListener;
 import io.coppershelf.http.HttpAnswer;
-import io.coppershelf.http.HttpLink;
+import io.coppershelf.http.HttpConnection;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import java.util.Locale;
 import java.util.Optional;
@@ -45,10 +45,10 @@
     private final BackendServer server;
     private final String requestId;
     private final Listener listener;
-    private final ServerUse use;
+    private final ServerStats use;
     private final ChoiceInputs inputs;
     private final long startedNanos = System.nanoTime();
-    private Optional<HttpLink> link = Optional.empty();
+    private Optional<HttpConnection> link = Optional.empty();
     private Optional<HttpAnswer> answer = Optional.empty();
     private boolean isEnded;
     private boolean isStallReported;
@@ -84,7 +84,7 @@
     }
 
     /** A connection is there; the request goes out now. */
-    void connected(HttpLink opened) {
+    void connected(HttpConnection opened) {
         link = Optional.of(opened);
         use.recordPathSuccess();
     }
@@ -120,7 +120,7 @@
         isEnded = true;
         use.requestEnded();
         context.state().loadChanged(use.code(), use.inFlight(), false);
-        link.ifPresent(HttpLink::close);
+        link.ifPresent(HttpConnection::close);
         context.metrics().recordAttempt("cancelled");
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/proxy/ServerPool.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/ServerConnectionPool.java
@@ -2,8 +2,8 @@
 
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.ServerList;
+import io.coppershelf.http.HttpConnection;
 import io.coppershelf.http.HttpConnector;
-import io.coppershelf.http.HttpLink;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -12,11 +12,11 @@
 import java.util.function.Consumer;
 
 /** The connections to backend servers. Runs on the traffic thread. */
-final class ServerPool {
+final class ServerConnectionPool {
     private final HttpConnector connector;
     private final Map<String, ServerLinks> linksByServer = new HashMap<>();
 
-    ServerPool(HttpConnector connector) {
+    ServerConnectionPool(HttpConnector connector) {
         this.connector = connector;
     }
 
@@ -31,10 +31,10 @@
             BackendServer server,
             long maxIdleNanos,
             int maxConnections,
-            Consumer<HttpLink> onOpen,
+            Consumer<HttpConnection> onOpen,
             Consumer<String> onFailure) {
         ServerLinks links = linksByServer.computeIfAbsent(keyOf(server), key -> new ServerLinks(server.id()));
-        Optional<HttpLink> idle = links.takeIdle(maxIdleNanos);
+        Optional<HttpConnection> idle = links.takeIdle(maxIdleNanos);
         if (idle.isPresent()) {
             onOpen.accept(idle.get());
             return;
@@ -72,7 +72,7 @@
     }
 
     private static final class ServerLinks {
-        private final Deque<HttpLink> idle = new ArrayDeque<>();
+        private final Deque<HttpConnection> idle = new ArrayDeque<>();
         private final String serverId;
         private int open;
 
@@ -80,9 +80,9 @@
             this.serverId = serverId;
         }
 
-        Optional<HttpLink> takeIdle(long maxIdleNanos) {
+        Optional<HttpConnection> takeIdle(long maxIdleNanos) {
             long now = System.nanoTime();
-            HttpLink latest = idle.peekFirst();
+            HttpConnection latest = idle.peekFirst();
             if (latest == null || !latest.isUsable(maxIdleNanos, now)) {
                 return Optional.empty();
             }
@@ -91,7 +91,7 @@
         }
 
         void closeUnusable(long nowNanos) {
-            for (HttpLink link : idle.toArray(new HttpLink[0])) {
+            for (HttpConnection link : idle.toArray(new HttpConnection[0])) {
                 if (!link.isUsable(Long.MAX_VALUE, nowNanos)) {
                     link.close();
                 }
--- a/coppershelf/src/main/java/io/coppershelf/proxy/TrafficContext.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/TrafficContext.java
@@ -1,9 +1,9 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.dispatch.RetryBudget;
+import io.coppershelf.dispatch.FleetRetryBudget;
 import io.coppershelf.dispatch.ServerChooser;
 import io.coppershelf.dispatch.TypicalLatency;
-import io.coppershelf.dispatch.WeightedSplit;
+import io.coppershelf.dispatch.WeightedRoundRobin;
 import io.coppershelf.eventlog.EventLog;
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
@@ -17,11 +17,11 @@
 record TrafficContext(
         EventLoop loop,
         HeaderNames names,
-        TrafficState state,
+        ControlState state,
         ServerChooser chooser,
-        RetryBudget budget,
-        WeightedSplit split,
-        ServerPool pool,
+        FleetRetryBudget budget,
+        WeightedRoundRobin split,
+        ServerConnectionPool pool,
         TrafficMetrics metrics,
         EventLog log,
         BodyMemory bodies,
@@ -32,11 +32,11 @@
     static TrafficContext create(
             EventLoop loop,
             HeaderNames names,
-            TrafficState state,
+            ControlState state,
             ServerChooser chooser,
-            RetryBudget budget,
-            WeightedSplit split,
-            ServerPool pool,
+            FleetRetryBudget budget,
+            WeightedRoundRobin split,
+            ServerConnectionPool pool,
             TrafficMetrics metrics,
             EventLog log) {
         return new TrafficContext(
--- a/coppershelf/src/main/java/io/coppershelf/proxy/TrafficServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/TrafficServer.java
@@ -1,14 +1,14 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.BeliefTable;
+import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.catalog.CallerLimits;
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.FleetConfiguration;
 import io.coppershelf.dispatch.FleetLoad;
-import io.coppershelf.dispatch.RetryBudget;
+import io.coppershelf.dispatch.FleetRetryBudget;
+import io.coppershelf.dispatch.IdleServerTracker;
 import io.coppershelf.dispatch.ServerChooser;
-import io.coppershelf.dispatch.ServiceSpread;
-import io.coppershelf.dispatch.WeightedSplit;
+import io.coppershelf.dispatch.WeightedRoundRobin;
 import io.coppershelf.eventlog.EventLog;
 import io.coppershelf.http.HttpConnector;
 import io.netty.bootstrap.ServerBootstrap;
@@ -56,11 +56,11 @@
     public TrafficServer(
             EventLoop loop,
             HeaderNames names,
-            TrafficState state,
-            BeliefTable beliefs,
+            ControlState state,
+            HealthEstimates beliefs,
             FleetLoad fleetLoad,
-            ServiceSpread spread,
-            RetryBudget budget,
+            IdleServerTracker spread,
+            FleetRetryBudget budget,
             String dataCentre,
             PrometheusRegistry registry,
             EventLog log) {
@@ -72,8 +72,8 @@
                 state,
                 new ServerChooser(dataCentre, beliefs, fleetLoad, spread, random),
                 budget,
-                new WeightedSplit(random),
-                new ServerPool(new HttpConnector(loop, CONNECT_TIMEOUT)),
+                new WeightedRoundRobin(random),
+                new ServerConnectionPool(new HttpConnector(loop, CONNECT_TIMEOUT)),
                 new TrafficMetrics(registry),
                 log);
     }
@@ -127,10 +127,10 @@
      * Tells the connection that bytes have arrived, before they are decoded. Empty lines do not count: some callers
      * send one after a body.
      */
-    private static final class ByteNotice extends ChannelInboundHandlerAdapter {
+    private static final class ByteArrivalHandler extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
-        ByteNotice(CallerConnection connection) {
+        ByteArrivalHandler(CallerConnection connection) {
             this.connection = connection;
         }
 
@@ -155,7 +155,7 @@
             callers.add(channel);
             CallerConnection connection = new CallerConnection(context, limits);
             channel.pipeline()
-                    .addLast(new ByteNotice(connection))
+                    .addLast(new TrafficServer.ByteArrivalHandler(connection))
                     .addLast(new HttpServerCodec(limits.headBytes(), limits.headBytes(), MAX_CHUNK_BYTES))
                     .addLast(connection);
         }
--- a/coppershelf/src/main/java/io/coppershelf/routing/RoutingPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/RoutingComponent.java
@@ -1,12 +1,12 @@
 package io.coppershelf.routing;
 
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.routing.internal.Routing;
 import java.time.Duration;
 
 /** The part that takes a request from receipt to answer. */
-public final class RoutingPart implements Part {
+public final class RoutingComponent implements Component {
     private final Routing routing = new Routing();
 
     @Override
@@ -15,12 +15,12 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         registry.register(RequestPipeline.NAME, routing);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         routing.start(registry);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/ServicePolicies.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/AttemptPolicies.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.ConcurrentMap;
 
 /** Makes the try policy of each service from the configuration and the fleet in force. */
-final class ServicePolicies {
+final class AttemptPolicies {
     private final ServiceGroups groups;
     private final OwnerLookup lookup;
-    private final KnownLoads loads;
-    private final GroupChoice choice;
-    private final ConcurrentMap<String, RetryBudget> budgets = new ConcurrentHashMap<>();
+    private final GroupLoadCache loads;
+    private final GroupSelector choice;
+    private final ConcurrentMap<String, ServiceRetryBudget> budgets = new ConcurrentHashMap<>();
 
-    ServicePolicies(ServiceGroups groups, OwnerLookup lookup, KnownLoads loads, GroupChoice choice) {
+    AttemptPolicies(ServiceGroups groups, OwnerLookup lookup, GroupLoadCache loads, GroupSelector choice) {
         this.groups = groups;
         this.lookup = lookup;
         this.loads = loads;
@@ -24,20 +24,20 @@
     }
 
     /** Counts a first try of the service and returns the policy for its further tries. */
-    TryPolicy recordFirstAttempt(String service, long nowNanos) {
-        RetryBudget budget = budgets.computeIfAbsent(service, key -> new RetryBudget());
+    AttemptPolicy recordFirstAttempt(String service, long nowNanos) {
+        ServiceRetryBudget budget = budgets.computeIfAbsent(service, key -> new ServiceRetryBudget());
         synchronized (budget) {
             budget.recordFirstAttempt();
         }
         return new ServicePolicy(service, budget, nowNanos);
     }
 
-    private final class ServicePolicy implements TryPolicy {
+    private final class ServicePolicy implements AttemptPolicy {
         private final String service;
-        private final RetryBudget budget;
+        private final ServiceRetryBudget budget;
         private final long nowNanos;
 
-        ServicePolicy(String service, RetryBudget budget, long nowNanos) {
+        ServicePolicy(String service, ServiceRetryBudget budget, long nowNanos) {
             this.service = service;
             this.budget = budget;
             this.nowNanos = nowNanos;
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/TryPolicy.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/AttemptPolicy.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** What a request asks before it sends a further try. */
-public interface TryPolicy {
+public interface AttemptPolicy {
     /** Returns the server group to try, none of the given ones; empty if there is no other. */
     Optional<GroupName> selectGroup(Set<GroupName> excluded);
 
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/KnownLoads.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupLoadCache.java
@@ -1,15 +1,15 @@
 package io.coppershelf.routing.internal;
 
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptResult.GroupLoad;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.TryResult;
-import io.coppershelf.admission.TryResult.GroupLoad;
 import io.coppershelf.outcome.Outcome;
 import java.time.Duration;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
 /** What the owners last told of the load of their groups; forgotten after a while. Safe for use by several threads. */
-final class KnownLoads {
+final class GroupLoadCache {
     private static final Duration MEMORY = Duration.ofSeconds(1);
     private static final Duration WAIT_AFTER_REFUSAL = Duration.ofSeconds(1);
     private static final Duration WAIT_WITHOUT_FREE_SLOT = Duration.ofMillis(1);
@@ -18,7 +18,7 @@
     private final ConcurrentMap<GroupName, Heard> heard = new ConcurrentHashMap<>();
 
     /** Takes in what a try told of the group. */
-    void record(GroupName group, TryResult result, long nowNanos) {
+    void record(GroupName group, AttemptResult result, long nowNanos) {
         if (heard.size() >= MOST_GROUPS) {
             heard.values().removeIf(entry -> entry.isStale(nowNanos));
         }
@@ -26,7 +26,7 @@
                 .filter(error -> error.outcome() == Outcome.NOT_RUN)
                 .isPresent();
         if (isRefused) {
-            long told = result.load().map(KnownLoads::waitNanos).orElse(0L);
+            long told = result.load().map(GroupLoadCache::waitNanos).orElse(0L);
             heard.put(group, new Heard(Math.max(told, WAIT_AFTER_REFUSAL.toNanos()), nowNanos));
             return;
         }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupChoice.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupSelector.java
@@ -13,11 +13,11 @@
  * @see <a href="https://doi.org/10.1109/71.963420">Mitzenmacher, The Power of Two Choices in Randomized Load Balancing,
  *     2001</a>
  */
-final class GroupChoice {
+final class GroupSelector {
     private final String ownDataCentre;
     private final RandomGenerator random;
 
-    GroupChoice(String ownDataCentre, RandomGenerator random) {
+    GroupSelector(String ownDataCentre, RandomGenerator random) {
         this.ownDataCentre = ownDataCentre;
         this.random = random;
     }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/UsualLatency.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/LatencyPercentile.java
@@ -8,7 +8,7 @@
  *
  * @see <a href="https://doi.org/10.1214/aoms/1177729586">Robbins and Monro, A Stochastic Approximation Method, 1951</a>
  */
-final class UsualLatency {
+final class LatencyPercentile {
     private static final double QUANTILE = 0.95;
     private static final double STEP = 0.1;
     private static final int LEAST_SAMPLES = 20;
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestAction.java
@@ -16,14 +16,14 @@
      * @param candidate the place of the owner among the candidates of the group, from 0
      * @param hedge whether it is a second, parallel try
      */
-    record SendTry(int number, GroupName group, int candidate, boolean hedge) implements RequestAction {}
+    record SendAttempt(int number, GroupName group, int candidate, boolean hedge) implements RequestAction {}
 
     /** Give a try up. */
-    record CancelTry(int number) implements RequestAction {}
+    record CancelAttempt(int number) implements RequestAction {}
 
     /** Answer the caller; happens once. */
     record AnswerCaller(RequestResult result) implements RequestAction {}
 
     /** All that can be known about the execution is known; happens once, also after the caller was answered. */
-    record Settle(Outcome outcome, Optional<Answer> answer) implements RequestAction {}
+    record RecordOutcome(Outcome outcome, Optional<Answer> answer) implements RequestAction {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
@@ -1,15 +1,12 @@
 package io.coppershelf.routing.internal;
 
+import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.TryResult;
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.RequestResult;
 import io.coppershelf.routing.internal.RequestAction.AnswerCaller;
-import io.coppershelf.routing.internal.RequestAction.CancelTry;
-import io.coppershelf.routing.internal.RequestAction.SendTry;
-import io.coppershelf.routing.internal.RequestAction.Settle;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -30,8 +27,8 @@
     private static final int MOST_HOPS = 9;
 
     private final boolean isIdempotent;
-    private final TryPolicy policy;
-    private final Map<Integer, SendTry> open = new TreeMap<>();
+    private final AttemptPolicy policy;
+    private final Map<Integer, RequestAction.SendAttempt> open = new TreeMap<>();
     private final Set<GroupName> excluded = new HashSet<>();
     private int hops;
     private int tries;
@@ -40,10 +37,10 @@
     private boolean isAnswered;
     private boolean isSettled;
     private Optional<ErrorKind> uncertain = Optional.empty();
-    private Optional<TryResult> refusal = Optional.empty();
+    private Optional<AttemptResult> refusal = Optional.empty();
 
     /** Returns the decisions of a request that was not started yet. */
-    public RequestDecisions(boolean isIdempotent, TryPolicy policy) {
+    public RequestDecisions(boolean isIdempotent, AttemptPolicy policy) {
         this.isIdempotent = isIdempotent;
         this.policy = policy;
     }
@@ -53,11 +50,11 @@
         List<RequestAction> actions = new ArrayList<>();
         if (event instanceof RequestEvent.Started) {
             start(actions);
-        } else if (event instanceof RequestEvent.TryEnded ended) {
+        } else if (event instanceof RequestEvent.AttemptEnded ended) {
             end(ended, actions);
         } else if (event instanceof RequestEvent.HedgeDue) {
             hedge(actions);
-        } else if (event instanceof RequestEvent.GaveUp) {
+        } else if (event instanceof RequestEvent.SendCutoffReached) {
             giveUp(actions);
         } else if (event instanceof RequestEvent.DeadlinePassed) {
             passDeadline(actions);
@@ -73,7 +70,7 @@
         }
         Optional<GroupName> group = policy.selectGroup(excluded);
         if (group.isEmpty()) {
-            refusal = Optional.of(TryResult.failed(ErrorKind.NO_SERVER));
+            refusal = Optional.of(AttemptResult.failed(ErrorKind.NO_SERVER));
             finish(actions);
             return;
         }
@@ -82,13 +79,13 @@
 
     private void send(GroupName group, int candidate, boolean hedge, List<RequestAction> actions) {
         hops++;
-        SendTry action = new SendTry(hops, group, candidate, hedge);
+        RequestAction.SendAttempt action = new RequestAction.SendAttempt(hops, group, candidate, hedge);
         open.put(hops, action);
         actions.add(action);
     }
 
-    private void end(RequestEvent.TryEnded ended, List<RequestAction> actions) {
-        SendTry done = open.remove(ended.number());
+    private void end(RequestEvent.AttemptEnded ended, List<RequestAction> actions) {
+        RequestAction.SendAttempt done = open.remove(ended.number());
         if (done == null) {
             return;
         }
@@ -108,11 +105,11 @@
 
     private void succeed(Answer answer, List<RequestAction> actions) {
         answerCaller(RequestResult.answered(answer), actions);
-        open.keySet().forEach(number -> actions.add(new CancelTry(number)));
+        open.keySet().forEach(number -> actions.add(new RequestAction.CancelAttempt(number)));
         settle(Outcome.RUN, Optional.of(answer), actions);
     }
 
-    private void remember(ErrorKind error, TryResult result) {
+    private void remember(ErrorKind error, AttemptResult result) {
         if (error.outcome() == Outcome.NOT_RUN) {
             refusal = Optional.of(result);
             return;
@@ -121,7 +118,7 @@
     }
 
     /** Sends a further try where that is safe and sensible; returns whether it did. */
-    private boolean sendNext(SendTry done, ErrorKind error, List<RequestAction> actions) {
+    private boolean sendNext(RequestAction.SendAttempt done, ErrorKind error, List<RequestAction> actions) {
         if (hops >= MOST_HOPS) {
             return false;
         }
@@ -147,7 +144,7 @@
         };
     }
 
-    private boolean sendToOtherOwner(SendTry done, List<RequestAction> actions) {
+    private boolean sendToOtherOwner(RequestAction.SendAttempt done, List<RequestAction> actions) {
         int next = done.candidate() + 1;
         if (next < policy.ownerCount(done.group())) {
             send(done.group(), next, done.hedge(), actions);
@@ -159,7 +156,7 @@
         return other.isPresent();
     }
 
-    private boolean retry(SendTry done, ErrorKind error, List<RequestAction> actions) {
+    private boolean retry(RequestAction.SendAttempt done, ErrorKind error, List<RequestAction> actions) {
         excluded.add(done.group());
         Optional<GroupName> other = policy.selectGroup(excluded);
         boolean isSameGroupUseful = error != ErrorKind.OVERLOADED;
@@ -180,7 +177,7 @@
         if (!isIdempotent || isAnswered || isGivenUp || open.size() != 1 || tries + 1 >= MOST_TRIES) {
             return;
         }
-        SendTry first = open.values().iterator().next();
+        RequestAction.SendAttempt first = open.values().iterator().next();
         Set<GroupName> busy = new HashSet<>(excluded);
         busy.add(first.group());
         if (!policy.spendRetry()) {
@@ -192,7 +189,7 @@
 
     private void giveUp(List<RequestAction> actions) {
         isGivenUp = true;
-        open.keySet().forEach(number -> actions.add(new CancelTry(number)));
+        open.keySet().forEach(number -> actions.add(new RequestAction.CancelAttempt(number)));
     }
 
     private void passDeadline(List<RequestAction> actions) {
@@ -204,7 +201,7 @@
     private void finish(List<RequestAction> actions) {
         ErrorKind refused = isGivenUp
                 ? ErrorKind.DEADLINE_BEFORE_RUN
-                : refusal.flatMap(TryResult::error).orElse(ErrorKind.INTERNAL);
+                : refusal.flatMap(AttemptResult::error).orElse(ErrorKind.INTERNAL);
         ErrorKind error = uncertain.orElse(refused);
         answerCaller(result(error), actions);
         settle(error.outcome(), Optional.empty(), actions);
@@ -212,7 +209,7 @@
 
     private RequestResult result(ErrorKind error) {
         return refusal.filter(result -> result.error().equals(Optional.of(error)))
-                .flatMap(TryResult::retryAfter)
+                .flatMap(AttemptResult::retryAfter)
                 .filter(delay -> error.retryAfter().isPresent())
                 .map(delay -> RequestResult.failed(error, delay))
                 .orElseGet(() -> RequestResult.failed(error));
@@ -231,6 +228,6 @@
             return;
         }
         isSettled = true;
-        actions.add(new Settle(outcome, answer));
+        actions.add(new RequestAction.RecordOutcome(outcome, answer));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestEvent.java
@@ -1,6 +1,6 @@
 package io.coppershelf.routing.internal;
 
-import io.coppershelf.admission.TryResult;
+import io.coppershelf.admission.AttemptResult;
 
 /** What happens to a request of a caller. */
 public sealed interface RequestEvent {
@@ -8,13 +8,13 @@
     record Started() implements RequestEvent {}
 
     /** A try ended. */
-    record TryEnded(int number, TryResult result) implements RequestEvent {}
+    record AttemptEnded(int number, AttemptResult result) implements RequestEvent {}
 
     /** The first try takes longer than its kind usually does. */
     record HedgeDue() implements RequestEvent {}
 
     /** The deadline is so near that nothing more is sent. */
-    record GaveUp() implements RequestEvent {}
+    record SendCutoffReached() implements RequestEvent {}
 
     /** The deadline is here. */
     record DeadlinePassed() implements RequestEvent {}
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestTimers.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestTimers.java
@@ -22,16 +22,16 @@
     }
 
     /** Sets the timers of a request; they end when its result is there. */
-    void schedule(RequestRun run, long remainingNanos, OptionalLong hedgeNanos) {
+    void schedule(RoutedRequest run, long remainingNanos, OptionalLong hedgeNanos) {
         long margin = Math.min(LONGEST_MARGIN.toNanos(), remainingNanos / MARGIN_FRACTION);
-        schedule(run, remainingNanos - margin, new RequestEvent.GaveUp());
+        schedule(run, remainingNanos - margin, new RequestEvent.SendCutoffReached());
         schedule(run, remainingNanos, new RequestEvent.DeadlinePassed());
         if (IS_HEDGING && hedgeNanos.isPresent() && hedgeNanos.getAsLong() < remainingNanos) {
             schedule(run, hedgeNanos.getAsLong(), new RequestEvent.HedgeDue());
         }
     }
 
-    private void schedule(RequestRun run, long delayNanos, RequestEvent event) {
+    private void schedule(RoutedRequest run, long delayNanos, RequestEvent event) {
         Future<?> timer = executor.schedule(() -> run.on(event), delayNanos, TimeUnit.NANOSECONDS);
         var unused = run.result().thenAccept(result -> timer.cancel(false));
     }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedPipeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedPipeline.java
@@ -7,7 +7,6 @@
 import io.coppershelf.routing.InboundRequest;
 import io.coppershelf.routing.RequestPipeline;
 import io.coppershelf.routing.RequestResult;
-import io.coppershelf.routing.internal.RequestRun.RunContext;
 import io.coppershelf.ticket.RouteSpec;
 import java.time.Duration;
 import java.util.OptionalLong;
@@ -19,15 +18,19 @@
 final class RoutedPipeline implements RequestPipeline {
     private static final Duration SHORTEST_HEDGE_DELAY = Duration.ofMillis(5);
 
-    private final RunContext context;
-    private final ServicePolicies policies;
+    private final RoutedRequest.RoutingContext context;
+    private final AttemptPolicies policies;
     private final Claims claims;
     private final Timeline timeline;
     private final RequestTimers timers;
-    private final ConcurrentMap<String, UsualLatency> latencies = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, LatencyPercentile> latencies = new ConcurrentHashMap<>();
 
     RoutedPipeline(
-            RunContext context, ServicePolicies policies, Claims claims, Timeline timeline, RequestTimers timers) {
+            RoutedRequest.RoutingContext context,
+            AttemptPolicies policies,
+            Claims claims,
+            Timeline timeline,
+            RequestTimers timers) {
         this.context = context;
         this.policies = policies;
         this.claims = claims;
@@ -42,7 +45,7 @@
         if (remaining <= 0) {
             return CompletableFuture.completedFuture(RequestResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
         }
-        RequestRun run = newRun(request, now);
+        RoutedRequest run = newRun(request, now);
         timers.schedule(run, remaining, hedgeNanos(request.route()));
         if (needsClaim(request)) {
             var unused = claims.claim(request).thenAccept(verdict -> hear(verdict, run));
@@ -56,23 +59,23 @@
         return !request.route().idempotent() && request.idempotencyKey().isPresent();
     }
 
-    private RequestRun newRun(InboundRequest request, long now) {
-        TryPolicy policy = policies.recordFirstAttempt(request.route().service(), now);
+    private RoutedRequest newRun(InboundRequest request, long now) {
+        AttemptPolicy policy = policies.recordFirstAttempt(request.route().service(), now);
         RequestDecisions decisions = new RequestDecisions(request.route().idempotent(), policy);
-        return new RequestRun(request, decisions, context, settled -> settle(request, settled, now));
+        return new RoutedRequest(request, decisions, context, settled -> settle(request, settled, now));
     }
 
-    private static void hear(Claims.Verdict verdict, RequestRun run) {
-        if (verdict instanceof Claims.Verdict.Answered answered) {
+    private static void hear(Claims.ClaimResult verdict, RoutedRequest run) {
+        if (verdict instanceof Claims.ClaimResult.Answered answered) {
             run.answer(RequestResult.answered(answered.answer()));
-        } else if (verdict instanceof Claims.Verdict.Rejected rejected) {
+        } else if (verdict instanceof Claims.ClaimResult.Rejected rejected) {
             run.answer(RequestResult.failed(rejected.error()));
         } else {
             run.on(new RequestEvent.Started());
         }
     }
 
-    private void settle(InboundRequest request, RequestAction.Settle settled, long startNanos) {
+    private void settle(InboundRequest request, RequestAction.RecordOutcome settled, long startNanos) {
         if (needsClaim(request)) {
             claims.complete(request, settled.outcome(), settled.answer());
         }
@@ -88,14 +91,14 @@
     }
 
     private void record(RouteSpec route, long latencyNanos) {
-        UsualLatency latency = latencies.computeIfAbsent(route.name(), key -> new UsualLatency());
+        LatencyPercentile latency = latencies.computeIfAbsent(route.name(), key -> new LatencyPercentile());
         synchronized (latency) {
             latency.record(latencyNanos);
         }
     }
 
     private OptionalLong hedgeNanos(RouteSpec route) {
-        UsualLatency latency = latencies.get(route.name());
+        LatencyPercentile latency = latencies.get(route.name());
         if (!route.idempotent() || latency == null) {
             return OptionalLong.empty();
         }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestRun.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
@@ -1,11 +1,10 @@
 package io.coppershelf.routing.internal;
 
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.GroupOwners;
-import io.coppershelf.admission.GroupOwners.TryExchange;
 import io.coppershelf.admission.OwnerLookup;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.admission.TryResult;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.ErrorKind;
@@ -20,20 +19,20 @@
 import java.util.function.Consumer;
 
 /** One request under way: feeds its decisions and carries out what they want. */
-final class RequestRun {
+final class RoutedRequest {
     private final InboundRequest request;
     private final RequestDecisions decisions;
-    private final RunContext context;
-    private final Consumer<RequestAction.Settle> onSettled;
+    private final RoutedRequest.RoutingContext context;
+    private final Consumer<RequestAction.RecordOutcome> onSettled;
     private final CompletableFuture<RequestResult> result = new CompletableFuture<>();
-    private final ConcurrentMap<Integer, TryExchange> exchanges = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Integer, AttemptSender.AttemptExchange> exchanges = new ConcurrentHashMap<>();
     private final Set<Integer> cancelled = ConcurrentHashMap.newKeySet();
 
-    RequestRun(
+    RoutedRequest(
             InboundRequest request,
             RequestDecisions decisions,
-            RunContext context,
-            Consumer<RequestAction.Settle> onSettled) {
+            RoutedRequest.RoutingContext context,
+            Consumer<RequestAction.RecordOutcome> onSettled) {
         this.request = request;
         this.decisions = decisions;
         this.context = context;
@@ -59,24 +58,24 @@
     }
 
     private void perform(RequestAction action) {
-        if (action instanceof RequestAction.SendTry send) {
+        if (action instanceof RequestAction.SendAttempt send) {
             send(send);
-        } else if (action instanceof RequestAction.CancelTry cancel) {
+        } else if (action instanceof RequestAction.CancelAttempt cancel) {
             cancel(cancel.number());
         } else if (action instanceof RequestAction.AnswerCaller answer) {
             result.complete(answer.result());
-        } else if (action instanceof RequestAction.Settle settled) {
+        } else if (action instanceof RequestAction.RecordOutcome settled) {
             onSettled.accept(settled);
         }
     }
 
-    private void send(RequestAction.SendTry send) {
+    private void send(RequestAction.SendAttempt send) {
         List<Vm> owners = context.lookup().ownersReachableFirst(send.group());
         if (send.candidate() >= owners.size()) {
-            on(new RequestEvent.TryEnded(send.number(), TryResult.failed(ErrorKind.OWNER_UNREACHABLE)));
+            on(new RequestEvent.AttemptEnded(send.number(), AttemptResult.failed(ErrorKind.OWNER_UNREACHABLE)));
             return;
         }
-        TryExchange exchange = context.owners().send(owners.get(send.candidate()), tryRequest(send));
+        AttemptSender.AttemptExchange exchange = context.owners().send(owners.get(send.candidate()), tryRequest(send));
         exchanges.put(send.number(), exchange);
         if (cancelled.contains(send.number())) {
             exchange.cancel();
@@ -84,24 +83,24 @@
         var unused = exchange.result().thenAccept(outcome -> end(send, outcome));
     }
 
-    private void end(RequestAction.SendTry send, TryResult outcome) {
+    private void end(RequestAction.SendAttempt send, AttemptResult outcome) {
         exchanges.remove(send.number());
         context.loads().record(send.group(), outcome, context.time().nanos());
-        on(new RequestEvent.TryEnded(send.number(), outcome));
+        on(new RequestEvent.AttemptEnded(send.number(), outcome));
     }
 
     private void cancel(int number) {
         cancelled.add(number);
-        TryExchange exchange = exchanges.get(number);
+        AttemptSender.AttemptExchange exchange = exchanges.get(number);
         if (exchange != null) {
             exchange.cancel();
         }
     }
 
-    private TryRequest tryRequest(RequestAction.SendTry send) {
+    private AttemptRequest tryRequest(RequestAction.SendAttempt send) {
         RouteSpec route = request.route();
         GroupName group = send.group();
-        return new TryRequest(
+        return new AttemptRequest(
                 request.id() + "." + send.number(),
                 group,
                 route.name(),
@@ -117,5 +116,5 @@
     }
 
     /** The services that all requests use. */
-    record RunContext(GroupOwners owners, OwnerLookup lookup, KnownLoads loads, TimeSource time) {}
+    record RoutingContext(AttemptSender owners, OwnerLookup lookup, GroupLoadCache loads, TimeSource time) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
@@ -1,16 +1,15 @@
 package io.coppershelf.routing.internal;
 
-import io.coppershelf.admission.GroupOwners;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.admission.OwnerLookup;
 import io.coppershelf.claim.Claims;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.routing.InboundRequest;
 import io.coppershelf.routing.RequestPipeline;
 import io.coppershelf.routing.RequestResult;
-import io.coppershelf.routing.internal.RequestRun.RunContext;
 import io.coppershelf.settings.Settings;
 import io.coppershelf.ticket.Configuration;
 import java.util.Random;
@@ -22,19 +21,19 @@
     private volatile RequestPipeline pipeline;
 
     /** Looks up the services of other parts. */
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         TimeSource time = registry.require(TimeSource.NAME);
         OwnerLookup lookup = new OwnerLookup(registry.require(FleetView.Source.NAME));
         Settings settings = registry.require(Settings.NAME);
-        KnownLoads loads = new KnownLoads();
+        GroupLoadCache loads = new GroupLoadCache();
         Random random = new Random(settings.vm().hashCode() ^ time.nanos());
-        ServicePolicies policies = new ServicePolicies(
+        AttemptPolicies policies = new AttemptPolicies(
                 new ServiceGroups(registry.require(Configuration.Source.NAME)),
                 lookup,
                 loads,
-                new GroupChoice(settings.dataCentre(), random));
+                new GroupSelector(settings.dataCentre(), random));
         pipeline = new RoutedPipeline(
-                new RunContext(registry.require(GroupOwners.NAME), lookup, loads, time),
+                new RoutedRequest.RoutingContext(registry.require(AttemptSender.NAME), lookup, loads, time),
                 policies,
                 registry.require(Claims.NAME),
                 registry.require(Timeline.NAME),
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RetryBudget.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/ServiceRetryBudget.java
@@ -7,7 +7,7 @@
  * @see <a href="https://sre.google/sre-book/handling-overload/">Site Reliability Engineering, chapter 21, per-client
  *     retry budget</a>
  */
-final class RetryBudget {
+final class ServiceRetryBudget {
     private static final int FIRST_TRIES_PER_RETRY = 10;
     private static final int BURST_RETRIES = 5;
     private static final int FULL = BURST_RETRIES * FIRST_TRIES_PER_RETRY;
--- a/coppershelf/src/main/java/io/coppershelf/settings/Settings.java
+++ b/coppershelf/src/main/java/io/coppershelf/settings/Settings.java
@@ -1,6 +1,6 @@
 package io.coppershelf.settings;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import java.net.URI;
 import java.util.List;
 
@@ -31,7 +31,7 @@
         int stopSeconds,
         int trafficThreads,
         int largestHead) {
-    public static final ServiceName<Settings> NAME = ServiceName.named("settings", Settings.class);
+    public static final ComponentKey<Settings> NAME = ComponentKey.named("settings", Settings.class);
 
     public Settings {
         seeds = List.copyOf(seeds);
--- a/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
@@ -1,6 +1,6 @@
 package io.coppershelf.ticket;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import java.util.List;
 import java.util.Optional;
 
@@ -44,7 +44,7 @@
 
     /** Where traffic threads read the configuration in force. */
     interface Source {
-        ServiceName<Source> NAME = ServiceName.named("configuration", Source.class);
+        ComponentKey<Source> NAME = ComponentKey.named("configuration", Source.class);
 
         /** Returns the latest snapshot. */
         Configuration current();
--- a/coppershelf/src/main/java/io/coppershelf/ticket/TicketPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/TicketComponent.java
@@ -1,11 +1,11 @@
 package io.coppershelf.ticket;
 
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.platform.Platform;
@@ -15,7 +15,7 @@
 import java.time.Duration;
 
 /** The part of the daemon that brings tickets into force, from the platform and from the peers. */
-public final class TicketPart implements Part {
+public final class TicketComponent implements Component {
     private final ConfigurationHolder holder = new ConfigurationHolder();
 
     @Override
@@ -24,13 +24,13 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         registry.register(Configuration.Source.NAME, holder);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
-        OperatorDesk desk = registry.require(OperatorDesk.NAME);
+    public void start(ComponentRegistry registry) {
+        OperatorRegistry desk = registry.require(OperatorRegistry.NAME);
         SpreadDriver driver = new SpreadDriver(
                 holder,
                 registry.require(ControlThread.NAME),
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/PullList.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/PendingPulls.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /** The tickets that this VM has heard of and fetches, each from one peer at a time. */
-final class PullList {
+final class PendingPulls {
     private static final int PULLS_AT_MOST = 256;
     private static final int SOURCES_AT_MOST = 8;
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/StartGate.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/ReadinessGate.java
@@ -10,7 +10,7 @@
  * Decides when a VM that starts may serve: after it has taken over the state of a peer that serves, and has at least
  * tried to read the platform; or, if no peer serves, with an answer of the platform alone.
  */
-final class StartGate {
+final class ReadinessGate {
     private static final int IDLE_PEERS_ENOUGH = 64;
 
     private final Set<String> idlePeers = new HashSet<>();
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadAction.java
@@ -17,13 +17,13 @@
     record Pull(Vm target, TicketKey key) implements SpreadAction {}
 
     /** Ask the VM to compare configurations. */
-    record AskRepair(Vm target) implements SpreadAction {}
+    record RequestRepair(Vm target) implements SpreadAction {}
 
     /** Ask the VM for the digests of the buckets in some groups. */
-    record AskBuckets(Vm target, List<Integer> groups) implements SpreadAction {}
+    record RequestBuckets(Vm target, List<Integer> groups) implements SpreadAction {}
 
     /** Ask the VM for its versions of the objects in some buckets. */
-    record AskVersions(Vm target, List<Integer> buckets) implements SpreadAction {}
+    record RequestVersions(Vm target, List<Integer> buckets) implements SpreadAction {}
 
     /** Publish the configuration, which has changed; the numbers are those of the tickets that came into force. */
     record Publish(SortedSet<Long> numbers) implements SpreadAction {}
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadDriver.java
@@ -52,7 +52,7 @@
     private final Optional<Platform> platform;
     private final Timeline timeline;
     private final ConfigurationHolder holder;
-    private final TicketRefusals refusals;
+    private final TicketValidator refusals;
     private final ConflictAlarm alarm;
     private final TicketSpread spread;
     private volatile boolean isReady;
@@ -74,7 +74,7 @@
         this.exchange = exchange;
         this.platform = platform;
         this.timeline = timeline;
-        refusals = new TicketRefusals(timeline, metrics);
+        refusals = new TicketValidator(timeline, metrics);
         alarm = new ConflictAlarm(timeline, metrics);
         FleetView view = fleet.current();
         long seed = view.self().id().hashCode() ^ view.self().incarnation();
@@ -119,11 +119,11 @@
             announce(announce.target(), announce.key());
         } else if (action instanceof SpreadAction.Pull pull) {
             pull(pull.target(), pull.key());
-        } else if (action instanceof SpreadAction.AskRepair ask) {
+        } else if (action instanceof SpreadAction.RequestRepair ask) {
             askRepair(ask.target());
-        } else if (action instanceof SpreadAction.AskBuckets ask) {
+        } else if (action instanceof SpreadAction.RequestBuckets ask) {
             askBuckets(ask.target(), ask.groups());
-        } else if (action instanceof SpreadAction.AskVersions ask) {
+        } else if (action instanceof SpreadAction.RequestVersions ask) {
             askVersions(ask.target(), ask.buckets());
         } else if (action instanceof SpreadAction.Publish publish) {
             publish(publish.numbers());
@@ -137,13 +137,14 @@
 
     private void readPlatform(SpreadAction.ReadPlatform read) {
         if (platform.isEmpty()) {
-            on(new SpreadEvent.PlatformFailed());
+            on(new SpreadEvent.PlatformReadFailed());
             return;
         }
         var unused = platform.get()
                 .tickets(read.position(), read.watchTime())
-                .handle((published, failure) ->
-                        failure == null ? platformRead(read.position(), published) : new SpreadEvent.PlatformFailed())
+                .handle((published, failure) -> failure == null
+                        ? platformRead(read.position(), published)
+                        : new SpreadEvent.PlatformReadFailed())
                 .thenAccept(event -> control.execute(() -> on(event)));
     }
 
@@ -165,9 +166,9 @@
     private void announce(Vm target, TicketKey key) {
         request(target, new Announcement(key), REPLY_TIMEOUT, reply -> {
             if (reply.orElse(null) instanceof AnnouncementReply answer) {
-                return new SpreadEvent.AnnounceAnswered(target.id(), key, answer.wasKnown());
+                return new SpreadEvent.AnnouncementAcknowledged(target.id(), key, answer.wasKnown());
             }
-            return new SpreadEvent.AnnounceFailed(target.id(), key);
+            return new SpreadEvent.AnnouncementFailed(target.id(), key);
         });
     }
 
@@ -184,7 +185,7 @@
     private void askRepair(Vm target) {
         request(target, new RepairRequest(spread.summary(time.nanos())), REPLY_TIMEOUT, reply -> {
             if (reply.orElse(null) instanceof RepairReply answer) {
-                return new SpreadEvent.RepairAnswered(target.id(), answer.summary(), answer.groupDigests());
+                return new SpreadEvent.RepairReplied(target.id(), answer.summary(), answer.groupDigests());
             }
             return new SpreadEvent.RepairFailed(target.id());
         });
@@ -197,7 +198,7 @@
             }
             TreeMap<Integer, Long> digests = new TreeMap<>();
             answer.digests().forEach(bucket -> digests.put(bucket.bucket(), bucket.digest()));
-            return new SpreadEvent.BucketsAnswered(target.id(), digests);
+            return new SpreadEvent.BucketsReceived(target.id(), digests);
         });
     }
 
@@ -211,7 +212,7 @@
                 for (TicketExtract extract : answer.extracts()) {
                     versions.addAll(TicketExtracts.versions(extract));
                 }
-                return new SpreadEvent.VersionsAnswered(target.id(), versions);
+                return new SpreadEvent.VersionsReceived(target.id(), versions);
             } catch (CoppershelfException e) {
                 refusals.recordPeerRefusal(target.id(), e);
                 return new SpreadEvent.RepairFailed(target.id());
@@ -233,7 +234,7 @@
     private void announced(String sender, Announcement announcement, Replies replies) {
         control.execute(() -> {
             replies.reply(new AnnouncementReply(spread.hasSeen(announcement.key())));
-            on(new SpreadEvent.Announced(sender, announcement.key()));
+            on(new SpreadEvent.AnnouncementReceived(sender, announcement.key()));
         });
     }
 
@@ -243,7 +244,7 @@
             boolean isEqual = mine.digest() == request.summary().digest();
             List<Long> groups = isEqual ? List.of() : BucketTree.groupDigests(spread.bucketDigests());
             replies.reply(new RepairReply(mine, groups));
-            on(new SpreadEvent.RepairAsked(sender, request.summary()));
+            on(new SpreadEvent.RepairRequested(sender, request.summary()));
         });
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadEvent.java
@@ -15,16 +15,16 @@
     record PlatformRead(long askedPosition, long position, List<Ticket> tickets) implements SpreadEvent {}
 
     /** The platform gave no answer to a read. */
-    record PlatformFailed() implements SpreadEvent {}
+    record PlatformReadFailed() implements SpreadEvent {}
 
     /** A peer announced a ticket. */
-    record Announced(String sender, TicketKey key) implements SpreadEvent {}
+    record AnnouncementReceived(String sender, TicketKey key) implements SpreadEvent {}
 
     /** A peer answered an announcement. */
-    record AnnounceAnswered(String target, TicketKey key, boolean wasKnown) implements SpreadEvent {}
+    record AnnouncementAcknowledged(String target, TicketKey key, boolean wasKnown) implements SpreadEvent {}
 
     /** A peer did not answer an announcement. */
-    record AnnounceFailed(String target, TicketKey key) implements SpreadEvent {}
+    record AnnouncementFailed(String target, TicketKey key) implements SpreadEvent {}
 
     /** A peer gave a ticket that was pulled from it. */
     record Pulled(String sender, Ticket ticket) implements SpreadEvent {}
@@ -33,16 +33,16 @@
     record PullFailed(TicketKey key) implements SpreadEvent {}
 
     /** A peer asks to compare. */
-    record RepairAsked(String sender, Summary summary) implements SpreadEvent {}
+    record RepairRequested(String sender, Summary summary) implements SpreadEvent {}
 
     /** A peer answered the request to compare. */
-    record RepairAnswered(String sender, Summary summary, List<Long> groupDigests) implements SpreadEvent {}
+    record RepairReplied(String sender, Summary summary, List<Long> groupDigests) implements SpreadEvent {}
 
     /** A peer gave the digests of the buckets of some groups. */
-    record BucketsAnswered(String sender, Map<Integer, Long> bucketDigests) implements SpreadEvent {}
+    record BucketsReceived(String sender, Map<Integer, Long> bucketDigests) implements SpreadEvent {}
 
     /** A peer gave its versions of the objects of some buckets. */
-    record VersionsAnswered(String sender, List<ObjectVersion> versions) implements SpreadEvent {}
+    record VersionsReceived(String sender, List<ObjectVersion> versions) implements SpreadEvent {}
 
     /** A peer did not answer a question of repair. */
     record RepairFailed(String target) implements SpreadEvent {}
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketExtracts.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketExtracts.java
@@ -45,7 +45,7 @@
     static List<ObjectVersion> versions(TicketExtract extract) {
         Ticket ticket = TicketDocument.parse(new String(extract.document(), StandardCharsets.UTF_8));
         TicketKey key = extract.key();
-        TicketRefusals.checkNumber(key, ticket);
+        TicketValidator.checkNumber(key, ticket);
         return ticket.objects().stream()
                 .map(state -> new ObjectVersion(key.number(), key.digest(), state))
                 .toList();
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
@@ -9,25 +9,16 @@
 import io.coppershelf.ticket.Ticket;
 import io.coppershelf.ticket.TicketDigest;
 import io.coppershelf.ticket.internal.spread.SpreadAction.AlarmConflict;
-import io.coppershelf.ticket.internal.spread.SpreadAction.AskRepair;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Publish;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Pull;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Ready;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnounceAnswered;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnounceFailed;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.Announced;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.BucketsAnswered;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.FleetChanged;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.PlatformFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.PlatformRead;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.PullFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Pulled;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairAnswered;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairAsked;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Summary;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Tick;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.VersionsAnswered;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -55,8 +46,8 @@
 
     private final ConfigurationStore store = new ConfigurationStore();
     private final RecentTickets recent = new RecentTickets();
-    private final StartGate gate = new StartGate();
-    private final PullList pulls = new PullList();
+    private final ReadinessGate gate = new ReadinessGate();
+    private final PendingPulls pulls = new PendingPulls();
     private final Random random;
     private final RumorList rumors;
     private final PlatformWatch watch;
@@ -126,7 +117,7 @@
             view = changed.view();
         } else if (event instanceof PlatformRead read) {
             platformRead(read, nowNanos, actions);
-        } else if (event instanceof PlatformFailed) {
+        } else if (event instanceof SpreadEvent.PlatformReadFailed) {
             watch.recordFailure(nowNanos);
         } else {
             peerEvent(event, nowNanos, actions);
@@ -136,23 +127,23 @@
     }
 
     private void peerEvent(SpreadEvent event, long nowNanos, List<SpreadAction> actions) {
-        if (event instanceof Announced announced) {
+        if (event instanceof SpreadEvent.AnnouncementReceived announced) {
             announced(announced, actions);
-        } else if (event instanceof AnnounceAnswered answered) {
+        } else if (event instanceof SpreadEvent.AnnouncementAcknowledged answered) {
             rumors.recordReply(answered.key(), answered.wasKnown());
-        } else if (event instanceof AnnounceFailed failed) {
+        } else if (event instanceof SpreadEvent.AnnouncementFailed failed) {
             rumors.recordFailure(failed.target(), failed.key());
         } else if (event instanceof Pulled pulled) {
             pulled(pulled, nowNanos, actions);
         } else if (event instanceof PullFailed failed) {
             pullFromNext(failed.key(), actions);
-        } else if (event instanceof RepairAsked asked) {
+        } else if (event instanceof SpreadEvent.RepairRequested asked) {
             repairAsked(asked, nowNanos);
-        } else if (event instanceof RepairAnswered answered) {
+        } else if (event instanceof SpreadEvent.RepairReplied answered) {
             repairAnswered(answered, nowNanos, actions);
-        } else if (event instanceof BucketsAnswered answered) {
+        } else if (event instanceof SpreadEvent.BucketsReceived answered) {
             bucketsAnswered(answered, actions);
-        } else if (event instanceof VersionsAnswered answered) {
+        } else if (event instanceof SpreadEvent.VersionsReceived answered) {
             versionsAnswered(answered, actions);
         } else if (event instanceof RepairFailed failed) {
             session = session.filter(present -> !present.isWith(failed.target()));
@@ -182,7 +173,7 @@
 
     private void askRepair(List<SpreadAction> actions) {
         if (repairPeer.isPresent()) {
-            actions.add(new AskRepair(repairPeer.get()));
+            actions.add(new SpreadAction.RequestRepair(repairPeer.get()));
             repairPeer = Optional.empty();
             return;
         }
@@ -192,7 +183,7 @@
         peers.sort(Comparator.comparing(peer -> gate.isKnownIdle(peer.id())));
         peers.stream()
                 .limit(gate.isReady() ? 1 : PEERS_ASKED_AT_START)
-                .forEach(peer -> actions.add(new AskRepair(peer)));
+                .forEach(peer -> actions.add(new SpreadAction.RequestRepair(peer)));
     }
 
     private void platformRead(PlatformRead read, long nowNanos, List<SpreadAction> actions) {
@@ -204,7 +195,7 @@
         publish(numbers, nowNanos, actions);
     }
 
-    private void announced(Announced event, List<SpreadAction> actions) {
+    private void announced(SpreadEvent.AnnouncementReceived event, List<SpreadAction> actions) {
         rumors.recordKnownBy(event.sender(), event.key());
         if (!recent.contains(event.key()) && pulls.begin(event.key(), event.sender())) {
             pullFrom(event.sender(), event.key(), actions);
@@ -261,7 +252,7 @@
         }
     }
 
-    private void repairAsked(RepairAsked event, long nowNanos) {
+    private void repairAsked(SpreadEvent.RepairRequested event, long nowNanos) {
         watch.recordReportedAge(event.summary().platformAgeMillis(), nowNanos);
         gate.recordPeer(event.sender(), event.summary().isReady());
         boolean isBehind = event.summary().isReady()
@@ -272,7 +263,7 @@
         }
     }
 
-    private void repairAnswered(RepairAnswered event, long nowNanos, List<SpreadAction> actions) {
+    private void repairAnswered(SpreadEvent.RepairReplied event, long nowNanos, List<SpreadAction> actions) {
         Summary summary = event.summary();
         watch.recordReportedAge(summary.platformAgeMillis(), nowNanos);
         gate.recordPeer(event.sender(), summary.isReady());
@@ -295,12 +286,12 @@
         });
     }
 
-    private void bucketsAnswered(BucketsAnswered event, List<SpreadAction> actions) {
+    private void bucketsAnswered(SpreadEvent.BucketsReceived event, List<SpreadAction> actions) {
         Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
         present.ifPresent(held -> proceed(held, held.compare(store.bucketDigests(), event.bucketDigests()), actions));
     }
 
-    private void versionsAnswered(VersionsAnswered event, List<SpreadAction> actions) {
+    private void versionsAnswered(SpreadEvent.VersionsReceived event, List<SpreadAction> actions) {
         Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
         if (present.isEmpty()) {
             return;
@@ -321,7 +312,8 @@
         proceed(present.get(), present.get().next(), actions);
     }
 
-    private void proceed(RepairSession held, Optional<SpreadAction.AskVersions> question, List<SpreadAction> actions) {
+    private void proceed(
+            RepairSession held, Optional<SpreadAction.RequestVersions> question, List<SpreadAction> actions) {
         if (question.isPresent()) {
             actions.add(question.get());
             return;
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketRefusals.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketValidator.java
@@ -18,13 +18,13 @@
 /**
  * Reads the documents that others give, and refuses loudly those that are not valid. Safe for use by several threads.
  */
-final class TicketRefusals {
+final class TicketValidator {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final Timeline timeline;
     private final Counter refused;
 
-    TicketRefusals(Timeline timeline, PrometheusRegistry metrics) {
+    TicketValidator(Timeline timeline, PrometheusRegistry metrics) {
         this.timeline = timeline;
         refused = Counter.builder()
                 .name("coppershelf_tickets_refused_total")
--- a/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
@@ -5,7 +5,6 @@
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.Tick;
-import io.coppershelf.admission.GroupEvent.TryEnded;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.outcome.ErrorKind;
@@ -79,7 +78,7 @@
 
     GroupDriver answer(String tryId, int status, ServerState state) {
         sent.remove(tryId);
-        return send(new TryEnded(tryId, Optional.of(status), Optional.empty(), state));
+        return send(new GroupEvent.AttemptEnded(tryId, Optional.of(status), Optional.empty(), state));
     }
 
     GroupDriver fail(String tryId, ErrorKind error, ServerState state) {
@@ -144,9 +143,9 @@
         }
     }
 
-    private TryEnded ended(String tryId, ErrorKind error, ServerState state) {
+    private GroupEvent.AttemptEnded ended(String tryId, ErrorKind error, ServerState state) {
         sent.remove(tryId);
-        return new TryEnded(tryId, Optional.empty(), Optional.of(error), state);
+        return new GroupEvent.AttemptEnded(tryId, Optional.empty(), Optional.of(error), state);
     }
 
     ServerStatus status(String server) {
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
@@ -10,7 +10,6 @@
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Probe;
 import io.coppershelf.admission.GroupAction.Refuse;
-import io.coppershelf.admission.GroupAction.ShareBaseline;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
 import io.coppershelf.admission.GroupEvent.RequestCancelled;
@@ -103,7 +102,8 @@
     @Test
     void tellsOtherOwnersTheUsualTimes() {
         driver.configure(server("a", 6, false)).serve().load(READ, Duration.ofSeconds(2));
-        assertThat(driver.all(ShareBaseline.class)).isNotEmpty();
-        assertThat(driver.all(ShareBaseline.class).get(0).usualNanos()).containsKey(READ);
+        assertThat(driver.all(GroupAction.ShareServiceTimes.class)).isNotEmpty();
+        assertThat(driver.all(GroupAction.ShareServiceTimes.class).get(0).usualNanos())
+                .containsKey(READ);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
@@ -5,15 +5,12 @@
 import static io.coppershelf.admission.GroupDriver.USUAL;
 import static io.coppershelf.admission.GroupDriver.server;
 
-import io.coppershelf.admission.GroupAction.AskEjection;
-import io.coppershelf.admission.GroupAction.AskReachability;
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.ReleaseEjection;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.EjectionRevoked;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
-import io.coppershelf.admission.GroupEvent.ReachabilityHeard;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.health.ServerCondition;
@@ -41,10 +38,11 @@
     void suspectsAndAsksToEjectAStalledServerBeforeAnyAnswerIsLate() {
         driver.stall("a").load(READ, SECOND);
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
-        assertThat(driver.all(AskReachability.class)).contains(new AskReachability("a"));
-        assertThat(driver.all(AskEjection.class)).isEmpty();
+        assertThat(driver.all(GroupAction.QueryReachability.class)).contains(new GroupAction.QueryReachability("a"));
+        assertThat(driver.all(GroupAction.RequestEjection.class)).isEmpty();
         driver.send(new ProbeEnded("a", Optional.of(ServerState.READY))).load(READ, SECOND);
-        assertThat(driver.all(AskEjection.class)).containsExactly(new AskEjection("a", "stalled"));
+        assertThat(driver.all(GroupAction.RequestEjection.class))
+                .containsExactly(new GroupAction.RequestEjection("a", "stalled"));
     }
 
     @Test
@@ -84,7 +82,7 @@
     void renewsTheRightBeforeItEnds() {
         eject("a", Duration.ofSeconds(4));
         driver.pass(Duration.ofSeconds(3));
-        assertThat(driver.all(AskEjection.class)).isNotEmpty();
+        assertThat(driver.all(GroupAction.RequestEjection.class)).isNotEmpty();
     }
 
     @Test
@@ -112,9 +110,9 @@
     void avoidsButDoesNotEjectAServerThatOnlyThisVmCannotReach() {
         driver.stall("a").load(READ, SECOND);
         driver.send(new ProbeEnded("a", Optional.empty()));
-        driver.send(new ReachabilityHeard("a", true));
+        driver.send(new GroupEvent.ReachabilityReported("a", true));
         driver.load(READ, Duration.ofSeconds(4));
-        assertThat(driver.all(AskEjection.class)).isEmpty();
+        assertThat(driver.all(GroupAction.RequestEjection.class)).isEmpty();
         assertThat(driver.all(Dispatch.class).stream().map(Dispatch::server).distinct())
                 .containsExactly("b", "c");
         assertThat(driver.status("a").reason()).isEqualTo("unreachable from this VM");
@@ -134,8 +132,9 @@
             }
         }
         assertThat(manual.status("a").condition()).isEqualTo(ServerCondition.SUSPECTED);
-        manual.send(new ReachabilityHeard("a", false));
-        assertThat(manual.all(AskEjection.class)).containsExactly(new AskEjection("a", "unreachable from several VMs"));
+        manual.send(new GroupEvent.ReachabilityReported("a", false));
+        assertThat(manual.all(GroupAction.RequestEjection.class))
+                .containsExactly(new GroupAction.RequestEjection("a", "unreachable from several VMs"));
     }
 
     @Test
@@ -155,7 +154,7 @@
     void asksToEjectNoServerWhileAllAreSuspected() {
         driver.stall("a").stall("b").stall("c").load(READ, SECOND);
         List.of("a", "b", "c").forEach(name -> driver.send(new ProbeEnded(name, Optional.of(ServerState.READY))));
-        assertThat(driver.all(AskEjection.class)).isEmpty();
+        assertThat(driver.all(GroupAction.RequestEjection.class)).isEmpty();
         assertThat(conditions()).containsExactly(ServerCondition.SUSPECTED);
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionPartsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionPartsTest.java
@@ -3,10 +3,10 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
-import io.coppershelf.admission.GroupEvent.TryEnded;
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.health.TryEnd;
+import io.coppershelf.health.AttemptEnd;
 import io.coppershelf.outcome.ErrorKind;
 import java.time.Duration;
 import java.util.Optional;
@@ -19,7 +19,7 @@
     @Test
     void countsASlotFromDispatchToEnd() {
         SlotTable slots = new SlotTable();
-        RunningTry running = new RunningTry(new RequestArrived("try", "r", true, 1, 0, false), "a", 0);
+        RunningAttempt running = new RunningAttempt(new RequestArrived("try", "r", true, 1, 0, false), "a", 0);
         slots.occupy(running);
         assertThat(slots.inFlight("a")).isEqualTo(1);
         assertThrows(IllegalStateException.class, () -> slots.occupy(running));
@@ -54,7 +54,7 @@
 
     @Test
     void knowsTheTimeLeftOfARunningTry() {
-        ServiceTimes times = new ServiceTimes();
+        MeanServiceTimes times = new MeanServiceTimes();
         times.record("r", millis(100));
         assertThat(times.meanNanos("r")).isEqualTo(millis(100));
         assertThat(times.meanNanos("unseen")).isEqualTo(millis(100));
@@ -77,9 +77,10 @@
         ", NO_SERVER, UNSTATED, NOT_CONNECTED",
         ", ANSWER_TOO_LARGE, UNSTATED, NEUTRAL"
     })
-    void knowsWhatTheEndOfATrySaysOfItsServer(Integer status, ErrorKind error, ServerState state, TryEnd end) {
-        TryEnded ended = new TryEnded("try", Optional.ofNullable(status), Optional.ofNullable(error), state);
-        assertThat(TryEnds.classify(ended)).isEqualTo(end);
+    void knowsWhatTheEndOfATrySaysOfItsServer(Integer status, ErrorKind error, ServerState state, AttemptEnd end) {
+        GroupEvent.AttemptEnded ended =
+                new GroupEvent.AttemptEnded("try", Optional.ofNullable(status), Optional.ofNullable(error), state);
+        assertThat(AttemptEndClassifier.classify(ended)).isEqualTo(end);
     }
 
     private static long millis(long millis) {
