--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
@@ -37,10 +37,10 @@
     void givesUpTheLeastWeightedTryWhenSlotsAreLost() {
         queue.add(waiting("light", 1, 190));
         queue.add(waiting("heavy", 10, 200));
-        assertThat(HopelessTries.selectAttempts(queue, new WaitEstimate(2, 0, SERVICE), 0))
+        assertThat(QueueShedder.selectAttempts(queue, new WaitEstimate(2, 0, SERVICE), 0))
                 .isEmpty();
-        assertThat(HopelessTries.selectAttempts(queue, new WaitEstimate(1, 0, SERVICE / 2), 0).stream()
-                        .map(WaitingTry::attemptId))
+        assertThat(QueueShedder.selectAttempts(queue, new WaitEstimate(1, 0, SERVICE / 2), 0).stream()
+                        .map(QueuedAttempt::attemptId))
                 .containsExactly("light");
     }
 
@@ -62,7 +62,7 @@
 
     @Test
     void refusesTheLeastWeightedKindsFirst() {
-        ServiceTimes serviceTimes = new ServiceTimes();
+        MeanServiceTimes serviceTimes = new MeanServiceTimes();
         serviceTimes.record("light", SERVICE);
         serviceTimes.record("heavy", SERVICE);
         AdmissionControl admission = new AdmissionControl(queue, serviceTimes);
@@ -76,8 +76,8 @@
         assertThat(admission.admits(request("urgent", 10, 90), estimate, 0)).isFalse();
     }
 
-    private static WaitingTry waiting(String tryId, int weight, int deadlineMillis) {
-        return new WaitingTry(request(tryId, weight, deadlineMillis), SERVICE);
+    private static QueuedAttempt waiting(String tryId, int weight, int deadlineMillis) {
+        return new QueuedAttempt(request(tryId, weight, deadlineMillis), SERVICE);
     }
 
     private static RequestArrived request(String tryId, int weight, int deadlineMillis) {
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/runtime/ForwardTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/runtime/ForwardTest.java
@@ -2,29 +2,28 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptResult.GroupLoad;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.GroupOwners;
-import io.coppershelf.admission.GroupOwners.TryExchange;
 import io.coppershelf.admission.OwnerLookup;
 import io.coppershelf.admission.ServerGroup;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.admission.TryResult;
-import io.coppershelf.admission.TryResult.GroupLoad;
 import io.coppershelf.backend.BackendClient;
 import io.coppershelf.backend.BackendRequest;
 import io.coppershelf.backend.BackendRequest.Header;
 import io.coppershelf.backend.BackendResult;
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.outcome.Outcome;
-import io.coppershelf.testing.FakeParts;
-import io.coppershelf.testing.PeerPair;
-import io.coppershelf.testing.PeerPair.Fault;
+import io.coppershelf.testing.FakeComponents;
+import io.coppershelf.testing.LoopbackPeerExchange;
+import io.coppershelf.testing.LoopbackPeerExchange.Fault;
 import io.coppershelf.ticket.Configuration;
 import io.coppershelf.ticket.ServerSpec;
 import java.io.IOException;
@@ -48,20 +47,20 @@
 
 /** Tries between the VM that received them and the owner of their group. */
 class ForwardTest implements BackendClient {
-    private static final GroupName GROUP = new GroupName(FakeParts.SERVICE, "herning");
+    private static final GroupName GROUP = new GroupName(FakeComponents.SERVICE, "herning");
     private static final Vm OWNER = new Vm("vm-2", 1, "herning", "127.0.0.1", 1, 2, false);
     private static final Answer ANSWER = new Answer(207, List.of(new Header("x-a", "1")), new byte[] {1, 2, 3});
 
-    private final PeerPair peers = new PeerPair("vm-9");
+    private final LoopbackPeerExchange peers = new LoopbackPeerExchange("vm-9");
     private final TimeSource time = TimeSource.system();
     private final List<FakeExchange> sent = new CopyOnWriteArrayList<>();
     private LocalGroups groups;
-    private GroupOwners owners;
+    private AttemptSender owners;
 
     @BeforeEach
     void start() {
-        ServiceRegistry registry = new ServiceRegistry();
-        FakeParts.of(FakeParts.server(1, 1)).register(registry);
+        ComponentRegistry registry = new ComponentRegistry();
+        FakeComponents.of(FakeComponents.server(1, 1)).register(registry);
         Configuration.Source configuration = registry.require(Configuration.Source.NAME);
         groups = new LocalGroups(
                 configuration,
@@ -69,11 +68,11 @@
                 name -> new GroupRuntime(
                         name, ServerGroup.create(name, new Random(1)), this, time, runtime -> action -> {}));
         new ForwardServer(groups).register(peers, time);
-        owners = new PeerGroupOwners(FakeParts.SELF.id(), groups, peers, time);
+        owners = new PeerAttemptSender(FakeComponents.SELF.id(), groups, peers, time);
     }
 
-    private TryRequest request(String tryId, GroupName group) {
-        return new TryRequest(
+    private AttemptRequest request(String tryId, GroupName group) {
+        return new AttemptRequest(
                 tryId,
                 group,
                 "vagtbank/claim",
@@ -88,17 +87,17 @@
                 time.nanos() + Duration.ofSeconds(60).toNanos());
     }
 
-    private TryExchange forward(String tryId) {
+    private AttemptSender.AttemptExchange forward(String tryId) {
         return owners.send(OWNER, request(tryId, GROUP));
     }
 
-    private static Optional<ErrorKind> error(TryExchange exchange) {
+    private static Optional<ErrorKind> error(AttemptSender.AttemptExchange exchange) {
         return exchange.result().join().error();
     }
 
     @Test
     void carriesWholeTryToTheOwnerAndWholeAnswerBack() {
-        TryExchange exchange = forward("t1");
+        AttemptSender.AttemptExchange exchange = forward("t1");
         BackendRequest received = sent.get(0).request;
         sent.get(0).result.complete(BackendResult.answered(ANSWER, ServerState.READY));
 
@@ -125,7 +124,7 @@
     void tellsNotRunOnlyIfNothingWasSent(Fault fault, ErrorKind expected, int dispatched) {
         peers.fault = fault;
 
-        TryExchange exchange = forward("t1");
+        AttemptSender.AttemptExchange exchange = forward("t1");
         sent.forEach(running -> running.result.complete(BackendResult.answered(ANSWER, ServerState.READY)));
 
         assertThat(error(exchange)).hasValue(expected);
@@ -135,7 +134,7 @@
     @ParameterizedTest
     @EnumSource(names = {"SERVER_LOST", "ANSWER_FOREIGN", "SERVER_REFUSED", "NO_SERVER", "DEADLINE_BEFORE_RUN"})
     void passesErrorKindOn(ErrorKind kind) {
-        TryExchange exchange = forward("t1");
+        AttemptSender.AttemptExchange exchange = forward("t1");
         sent.get(0).result.complete(BackendResult.failed(kind, ServerState.READY));
 
         assertThat(error(exchange)).hasValue(kind);
@@ -144,14 +143,14 @@
     @ParameterizedTest
     @CsvSource({"vagtbank, viborg, NO_SERVER", "nosuch, herning, NO_SERVER"})
     void refusesGroupWithoutServersAsNotRun(String service, String dataCentre, ErrorKind expected) {
-        TryExchange exchange = owners.send(OWNER, request("t1", new GroupName(service, dataCentre)));
+        AttemptSender.AttemptExchange exchange = owners.send(OWNER, request("t1", new GroupName(service, dataCentre)));
 
         assertThat(error(exchange)).hasValue(expected);
     }
 
     @Test
     void refusesNewTriesWhileItStops() {
-        TryExchange running = forward("t1");
+        AttemptSender.AttemptExchange running = forward("t1");
         groups.beginStop();
 
         assertThat(error(forward("t2"))).hasValue(ErrorKind.STOPPING);
@@ -163,8 +162,8 @@
 
     @Test
     void queuesWhatHasNoSlotAndProvesItNotRunOnCancel() {
-        TryExchange first = forward("t1");
-        TryExchange second = forward("t2");
+        AttemptSender.AttemptExchange first = forward("t1");
+        AttemptSender.AttemptExchange second = forward("t2");
         assertThat(sent).hasSize(1);
 
         second.cancel();
@@ -177,7 +176,7 @@
 
     @Test
     void asksServerToCancelWhatRuns() {
-        TryExchange exchange = forward("t1");
+        AttemptSender.AttemptExchange exchange = forward("t1");
 
         exchange.cancel();
 
@@ -188,7 +187,7 @@
 
     @Test
     void ignoresCancelFromAnotherVm() {
-        TryExchange exchange = owners.send(FakeParts.SELF, request("t1", GROUP));
+        AttemptSender.AttemptExchange exchange = owners.send(FakeComponents.SELF, request("t1", GROUP));
 
         peers.send(OWNER, new ForwardCancel("t1"));
 
@@ -198,7 +197,7 @@
 
     @Test
     void sendsTryIdOnceOnly() {
-        TryExchange first = forward("t1");
+        AttemptSender.AttemptExchange first = forward("t1");
 
         assertThat(error(forward("t1")).map(ErrorKind::outcome)).hasValue(Outcome.UNKNOWN);
         assertThat(sent).hasSize(1);
@@ -207,8 +206,8 @@
 
     @Test
     void forwardsNothingAfterDeadline() {
-        TryRequest late = request("t1", GROUP);
-        TryRequest tooLate = new TryRequest(
+        AttemptRequest late = request("t1", GROUP);
+        AttemptRequest tooLate = new AttemptRequest(
                 late.tryId(),
                 GROUP,
                 late.route(),
@@ -226,27 +225,27 @@
         assertThat(sent).isEmpty();
     }
 
-    static Stream<TryResult> results() {
+    static Stream<AttemptResult> results() {
         return Stream.of(
-                TryResult.failed(ErrorKind.OWNER_LOST),
-                TryResult.refused(ErrorKind.OVERLOADED, Duration.ofMillis(1_500)),
-                TryResult.failed(ErrorKind.NO_SERVER).withLoad(new GroupLoad(-1, Long.MAX_VALUE)));
+                AttemptResult.failed(ErrorKind.OWNER_LOST),
+                AttemptResult.refused(ErrorKind.OVERLOADED, Duration.ofMillis(1_500)),
+                AttemptResult.failed(ErrorKind.NO_SERVER).withLoad(new GroupLoad(-1, Long.MAX_VALUE)));
     }
 
     @ParameterizedTest
     @MethodSource("results")
-    void keepsReplyOverTheWire(TryResult result) {
+    void keepsReplyOverTheWire(AttemptResult result) {
         assertThat(peers.copy(new ForwardReply("t1", result))).isEqualTo(new ForwardReply("t1", result));
     }
 
     @Test
     void keepsEvidenceOverTheWire() {
-        PeerPair pair = new PeerPair("vm-9");
-        pair.register(new BaselineCodec());
+        LoopbackPeerExchange pair = new LoopbackPeerExchange("vm-9");
+        pair.register(new ServiceTimesMessageCodec());
         pair.register(new ReachabilityQueryCodec());
         pair.register(new ReachabilityReplyCodec());
         List.of(
-                        new Baseline("vagtbank", Map.of("vagtbank/claim", 5L, "vagtbank/shifts", 6L)),
+                        new ServiceTimesMessage("vagtbank", Map.of("vagtbank/claim", 5L, "vagtbank/shifts", 6L)),
                         new ReachabilityQuery("vagtbank-1"),
                         new ReachabilityReply("vagtbank-1", true))
                 .forEach(message -> assertThat(pair.copy(message)).isEqualTo(message));
--- a/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
@@ -11,7 +11,7 @@
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.FakeBackendServer.Received;
 import io.coppershelf.testing.FakeBackendServer.Script;
-import io.coppershelf.testing.FakeParts;
+import io.coppershelf.testing.FakeComponents;
 import io.coppershelf.testing.FreePorts;
 import io.coppershelf.ticket.ServerSpec;
 import java.io.IOException;
@@ -45,12 +45,12 @@
     private FakeBackendServer server;
 
     static {
-        HttpClients.applySystemProperties();
+        HttpClientHolder.applySystemProperties();
     }
 
     private void start(Script script) throws IOException {
         server = FakeBackendServer.start(script);
-        client = new HttpBackendClient(new HttpClients(executor, TimeSource.system()), TimeSource.system());
+        client = new HttpBackendClient(new HttpClientHolder(executor, TimeSource.system()), TimeSource.system());
     }
 
     @AfterEach
@@ -70,7 +70,7 @@
     }
 
     private BackendRequest request(String tryId, Duration limit) {
-        ServerSpec spec = FakeParts.server(server.port(), 2);
+        ServerSpec spec = FakeComponents.server(server.port(), 2);
         return new BackendRequest(
                 tryId,
                 spec,
@@ -192,7 +192,7 @@
         BackendRequest request = request("t1", LIMIT);
         BackendRequest toClosedPort = new BackendRequest(
                 request.tryId(),
-                FakeParts.server(FreePorts.address().getPort(), 2),
+                FakeComponents.server(FreePorts.address().getPort(), 2),
                 request.method(),
                 request.target(),
                 request.headers(),
@@ -288,7 +288,7 @@
     void probesState(ServerState state) throws Exception {
         start(request -> request.answer(200, "", "Coppershelf-Server-State: " + state));
 
-        assertThat(client.probe(FakeParts.server(server.port(), 2), LIMIT).get())
+        assertThat(client.probe(FakeComponents.server(server.port(), 2), LIMIT).get())
                 .hasValue(state);
         assertThat(server.received().get(0).target()).isEqualTo("/coppershelf/health");
     }
@@ -297,7 +297,7 @@
     void failsProbeOfSilentServer() throws Exception {
         start(request -> stall());
         try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            ServerSpec spec = FakeParts.server(silent.getLocalPort(), 2);
+            ServerSpec spec = FakeComponents.server(silent.getLocalPort(), 2);
 
             assertThat(client.probe(spec, Duration.ofMillis(50)).get()).isEmpty();
         }
--- a/coppershelf/src/test/java/io/coppershelf/belief/ServerBeliefTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/belief/HealthEstimateTest.java
@@ -6,29 +6,29 @@
 import org.junit.jupiter.api.Test;
 
 /** Pattern: a server fails most requests for some seconds while its probes are good, and each VM sees it rarely. */
-final class ServerBeliefTest {
+final class HealthEstimateTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
     @Test
     void oneFailureOfAnUnknownServerMakesItSuspect() {
-        ServerBelief belief = ServerBelief.initial(0).after(Observation.FAILURE, 0);
+        HealthEstimate belief = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
         assertThat(belief.isSuspected(0)).isTrue();
     }
 
     @Test
     void oneFailureOfAProvenServerIsForgivenAfterASuccess() {
-        ServerBelief belief = ServerBelief.initial(0);
+        HealthEstimate belief = HealthEstimate.initial(0);
         for (int i = 0; i < 10; i++) {
             belief = belief.after(Observation.SUCCESS, 0);
         }
-        ServerBelief failedOnce = belief.after(Observation.FAILURE, 0);
+        HealthEstimate failedOnce = belief.after(Observation.FAILURE, 0);
         assertThat(failedOnce.unhealthyProbabilityAt(0)).isLessThan(0.3);
         assertThat(failedOnce.after(Observation.SUCCESS, 0).isSuspected(0)).isFalse();
     }
 
     @Test
     void twoFailuresOfAProvenServerMakeItSuspect() {
-        ServerBelief belief = ServerBelief.initial(0);
+        HealthEstimate belief = HealthEstimate.initial(0);
         for (int i = 0; i < 10; i++) {
             belief = belief.after(Observation.SUCCESS, 0);
         }
@@ -38,28 +38,28 @@
 
     @Test
     void suspicionFadesWithoutObservations() {
-        ServerBelief belief = ServerBelief.initial(0).after(Observation.FAILURE, 0);
-        assertThat(belief.unhealthyProbabilityAt(60 * SECOND)).isWithin(0.01).of(ServerBelief.BASE_SICKNESS);
+        HealthEstimate belief = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
+        assertThat(belief.unhealthyProbabilityAt(60 * SECOND)).isWithin(0.01).of(HealthEstimate.BASE_SICKNESS);
     }
 
     @Test
     void serverThatFailedIsNotWorthATryWhileASicknessLasts() {
-        ServerBelief belief = ServerBelief.initial(0).after(Observation.FAILURE, 0);
+        HealthEstimate belief = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
         assertThat(belief.allowsTrialRequest(9 * SECOND)).isFalse();
         assertThat(belief.allowsTrialRequest(12 * SECOND)).isTrue();
     }
 
     @Test
     void serverThatFailsTheTryIsLeftAloneAnew() {
-        ServerBelief belief =
-                ServerBelief.initial(0).after(Observation.FAILURE, 0).after(Observation.FAILURE, 12 * SECOND);
+        HealthEstimate belief =
+                HealthEstimate.initial(0).after(Observation.FAILURE, 0).after(Observation.FAILURE, 12 * SECOND);
         assertThat(belief.allowsTrialRequest(20 * SECOND)).isFalse();
         assertThat(belief.allowsTrialRequest(24 * SECOND)).isTrue();
     }
 
     @Test
     void unknownAndProvenServersAreWorthATry() {
-        ServerBelief unknown = ServerBelief.initial(0);
+        HealthEstimate unknown = HealthEstimate.initial(0);
         assertThat(unknown.allowsTrialRequest(SECOND)).isTrue();
         assertThat(unknown.after(Observation.SUCCESS, 0).allowsTrialRequest(60 * SECOND))
                 .isTrue();
@@ -67,7 +67,7 @@
 
     @Test
     void successesOfASickServerRestoreTrustWithinAFewRequests() {
-        ServerBelief belief = ServerBelief.initial(0);
+        HealthEstimate belief = HealthEstimate.initial(0);
         for (int i = 0; i < 20; i++) {
             belief = belief.after(Observation.FAILURE, 0);
         }
@@ -79,7 +79,7 @@
 
     @Test
     void tableTellsNewsOnlyOfWhatOthersDoNotExpect() {
-        BeliefTable table = new BeliefTable();
+        HealthEstimates table = new HealthEstimates();
         assertThat(table.observe("s", Observation.SUCCESS, 0)).isTrue();
         for (int i = 0; i < 5; i++) {
             table.observe("s", Observation.SUCCESS, 0);
--- a/coppershelf/src/test/java/io/coppershelf/caller/CallerPartTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/caller/CallerComponentTest.java
@@ -6,7 +6,7 @@
 import io.coppershelf.backend.BackendRequest.Header;
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.caller.internal.CallerTimeouts;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.outcome.Outcome;
@@ -14,7 +14,7 @@
 import io.coppershelf.routing.RequestPipeline;
 import io.coppershelf.routing.RequestResult;
 import io.coppershelf.settings.Settings;
-import io.coppershelf.testing.FakeParts;
+import io.coppershelf.testing.FakeComponents;
 import io.coppershelf.testing.RawCaller;
 import io.coppershelf.testing.RawCaller.Reply;
 import java.io.IOException;
@@ -38,7 +38,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 @Timeout(60)
-class CallerPartTest implements RequestPipeline {
+class CallerComponentTest implements RequestPipeline {
     private static final int LARGEST_HEAD = 2_000;
     private static final String GET = "GET /shifts/7 HTTP/1.1\nHost: x\n";
     private static final String POST = "POST /claims HTTP/1.1\nHost: x\n";
@@ -46,7 +46,7 @@
     private final List<InboundRequest> served = new CopyOnWriteArrayList<>();
     private CompletableFuture<RequestResult> next =
             CompletableFuture.completedFuture(RequestResult.answered(new Answer(200, List.of(), bytes("whole"))));
-    private CallerPart part;
+    private CallerComponent part;
 
     @Override
     public CompletableFuture<RequestResult> serve(InboundRequest request) {
@@ -60,7 +60,7 @@
     }
 
     private void start(CallerTimeouts timeouts) {
-        ServiceRegistry registry = new ServiceRegistry();
+        ComponentRegistry registry = new ComponentRegistry();
         registry.register(TimeSource.NAME, TimeSource.system());
         registry.register(RequestPipeline.NAME, this);
         registry.register(
@@ -77,8 +77,8 @@
                         1,
                         2,
                         LARGEST_HEAD));
-        FakeParts.of(FakeParts.server(1, 1)).register(registry);
-        part = new CallerPart(timeouts);
+        FakeComponents.of(FakeComponents.server(1, 1)).register(registry);
+        part = new CallerComponent(timeouts);
         part.register(registry);
         part.start(registry);
     }
--- a/coppershelf/src/test/java/io/coppershelf/catalog/RouteTableTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/catalog/RouteTableTest.java
@@ -52,6 +52,6 @@
                 Duration.ofSeconds(1),
                 0,
                 1,
-                List.of(new RoutePart("s", 1)));
+                List.of(new WeightedService("s", 1)));
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimHistoryTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimCoverageTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A holder accepts keys only if it can know all attempts of the window. */
-class ClaimHistoryTest {
+class ClaimCoverageTest {
     private static final long SETTLED = ClaimLimits.SETTLING_TIME.toNanos();
     private static final long WINDOW = ClaimLimits.WINDOW.toNanos();
     private static final Vm SELF = FakeFleetView.vm("self", 100);
@@ -22,18 +22,18 @@
         return new FakeFleetView(SELF, List.copyOf(list), Set.of());
     }
 
-    private ClaimHistory startAmong(int peers) {
+    private ClaimCoverage startAmong(int peers) {
         IntStream.range(0, peers).mapToObj(i -> FakeFleetView.vm("vm" + i, 50)).forEach(list::add);
-        return new ClaimHistory(view(), 0);
+        return new ClaimCoverage(view(), 0);
     }
 
-    private static void pull(ClaimHistory history, int peers, boolean knowing, List<String> lost) {
+    private static void pull(ClaimCoverage history, int peers, boolean knowing, List<String> lost) {
         IntStream.range(0, peers).forEach(i -> history.onPullComplete("vm" + i, knowing, lost));
     }
 
     @Test
     void isCompleteWhenAllButThreePeersHaveAnswered() {
-        ClaimHistory history = startAmong(9);
+        ClaimCoverage history = startAmong(9);
         pull(history, 5, true, List.of());
         assertThat(history.isComplete(SETTLED)).isFalse();
         assertThat(history.peersToPull(SETTLED)).containsExactly("vm5", "vm6", "vm7", "vm8");
@@ -44,7 +44,7 @@
 
     @Test
     void waitsOutTheWindowWhenMoreThanThreeVmsWereLost() {
-        ClaimHistory history = startAmong(9);
+        ClaimCoverage history = startAmong(9);
         pull(history, 9, true, List.of("x", "y", "z", "self"));
         assertThat(history.isComplete(WINDOW - 1)).isFalse();
         assertThat(history.isComplete(WINDOW)).isTrue();
@@ -52,7 +52,7 @@
 
     @Test
     void newStartOfALostVmStandsForItOnlyOnceItKnows() {
-        ClaimHistory history = startAmong(6);
+        ClaimCoverage history = startAmong(6);
         List<String> lost = List.of("vm0", "vm1", "vm2", "self");
         pull(history, 3, false, List.of());
         IntStream.range(3, 6).forEach(i -> history.onPullComplete("vm" + i, true, lost));
@@ -64,7 +64,7 @@
 
     @Test
     void firstStartOfAWholeFleetIsCompleteOnceAllHaveAnswered() {
-        ClaimHistory history = startAmong(35);
+        ClaimCoverage history = startAmong(35);
         pull(history, 35, false, List.of());
         assertThat(history.isComplete(SETTLED)).isTrue();
     }
@@ -72,7 +72,7 @@
     @Test
     void vmThatOnlyTheListHasNamedIsNotLostWhenItIsHeardOf() {
         IntStream.range(0, 9).mapToObj(i -> FakeFleetView.vm("vm" + i, 0)).forEach(list::add);
-        ClaimHistory history = new ClaimHistory(view(), 0);
+        ClaimCoverage history = new ClaimCoverage(view(), 0);
         list.replaceAll(vm -> vm.equals(SELF) ? SELF : FakeFleetView.vm(vm.id(), 100_000));
         history.onFleet(view(), 1);
         assertThat(history.lostVms(2)).isEmpty();
@@ -82,7 +82,7 @@
     @Test
     void vmThatOnlyTheListHasNamedIsLostWhenItLeavesTheList() {
         list.add(FakeFleetView.vm("vm0", 0));
-        ClaimHistory history = new ClaimHistory(view(), 0);
+        ClaimCoverage history = new ClaimCoverage(view(), 0);
         list.remove(1);
         history.onFleet(view(), 1);
         assertThat(history.lostVms(2)).containsExactly("vm0");
@@ -90,7 +90,7 @@
 
     @Test
     void learnsOfElderVmsLater() {
-        ClaimHistory history = startAmong(0);
+        ClaimCoverage history = startAmong(0);
         assertThat(history.isComplete(SETTLED)).isTrue();
         IntStream.range(0, 4).mapToObj(i -> FakeFleetView.vm("vm" + i, 50)).forEach(list::add);
         history.onFleet(view(), SETTLED);
@@ -99,7 +99,7 @@
 
     @Test
     void newHolderDoesNotAcceptBeforeTheOthersHaveToldIt() {
-        ClaimHistory history = startAmong(9);
+        ClaimCoverage history = startAmong(9);
         pull(history, 9, true, List.of());
         String key = IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "k" + i)
@@ -114,7 +114,7 @@
 
     @Test
     void refusesForOneWindowTheKeysWhoseHoldersWereNearlyAllLost() {
-        ClaimHistory history = startAmong(9);
+        ClaimCoverage history = startAmong(9);
         pull(history, 9, true, List.of());
         FakeFleetView before = view();
         Set<String> lost = Set.of("vm0", "vm1", "vm2", "vm3");
@@ -122,7 +122,7 @@
         history.onFleet(view(), SETTLED);
         List<String> keys = IntStream.range(0, 200).mapToObj(i -> "k" + i).toList();
         List<String> damaged = keys.stream()
-                .filter(key -> ClaimHistory.holders(before, key).containsAll(lost))
+                .filter(key -> ClaimCoverage.holders(before, key).containsAll(lost))
                 .toList();
         assertThat(damaged).isNotEmpty();
         assertThat(keys.stream().filter(key -> !history.covers(key, WINDOW)).toList())
@@ -136,7 +136,7 @@
     void leavingVmsCountAsHandedOver() {
         Vm leaving = new Vm("l", 1, "herning", "127.0.0.1", 1, 2, true);
         list.add(leaving);
-        ClaimHistory history = startAmong(3);
+        ClaimCoverage history = startAmong(3);
         list.remove(leaving);
         history.onFleet(view(), 1);
         assertThat(history.lostVms(1)).isEmpty();
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import io.coppershelf.claim.Claims.Verdict;
+import io.coppershelf.claim.Claims;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimCompletion;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimPage;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimRequest;
@@ -47,9 +47,9 @@
     @Test
     void newHolderAnswersNoHistoryBeforeItsPull() {
         begin(1, 0);
-        ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderAnswer.Verdict.NO_HISTORY));
+        ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderDecision.Kind.NO_HISTORY));
         pass(SETTLED);
-        ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderAnswer.Verdict.ACCEPTED));
+        ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderDecision.Kind.ACCEPTED));
     }
 
     @ParameterizedTest(name = "loss {0}, {1} holders restart at once, {2} apart")
@@ -65,7 +65,7 @@
                 int delay = i < 3 ? random.nextInt(600) : 1_200 + random.nextInt(9_000);
                 at(Duration.ofMillis(delay), () -> attempt(attempt));
             }
-            List<String> lost = ClaimHistory.holders(view("vm0"), KEY).subList(0, restarts);
+            List<String> lost = ClaimCoverage.holders(view("vm0"), KEY).subList(0, restarts);
             for (int i = 0; i < restarts; i++) {
                 String holder = lost.get(i);
                 at(Duration.ofMillis(random.nextInt(1_000) + (long) i * apartMillis), () -> restart(holder));
@@ -77,7 +77,7 @@
         assertWithMessage("seeds in which an attempt got the key").that(decided).isAtLeast(SEEDS / 10);
     }
 
-    private HolderAnswer.Verdict claimAt(String id) {
+    private HolderDecision.Kind claimAt(String id) {
         return holders.get(id)
                 .claim(new ClaimRequest("other", DIGEST, "a", 1_000), now)
                 .verdict();
@@ -132,12 +132,12 @@
     }
 
     private void attempt(String id) {
-        List<String> asked = ClaimHistory.holders(view("vm0"), KEY);
+        List<String> asked = ClaimCoverage.holders(view("vm0"), KEY);
         ClaimRound round = new ClaimRound(asked);
         ClaimRequest request = new ClaimRequest(KEY, DIGEST, id, 2_000);
         for (String holder : asked) {
             send(() -> {
-                HolderAnswer answer = holders.get(holder).claim(request, now);
+                HolderDecision answer = holders.get(holder).claim(request, now);
                 send(() -> onVerdict(id, round.onReply(holder, answer)));
             });
             at(ClaimLimits.CLAIM_TIMEOUT, () -> onVerdict(id, round.onNoReply(holder)));
@@ -145,27 +145,27 @@
     }
 
     /** A claimed attempt runs or not; its end is told truly, or as unknown, or never since its VM is lost. */
-    private void onVerdict(String id, Optional<Verdict> verdict) {
+    private void onVerdict(String id, Optional<Claims.ClaimResult> verdict) {
         if (verdict.isEmpty()) {
             return;
         }
-        if (!(verdict.get() instanceof Verdict.Claimed)) {
-            complete(id, AttemptStatus.NOT_RUN);
+        if (!(verdict.get() instanceof Claims.ClaimResult.Claimed)) {
+            complete(id, ClaimStatus.NOT_RUN);
             return;
         }
         claims++;
         boolean ran = random.nextInt(3) > 0;
         runs += ran ? 1 : 0;
-        AttemptStatus truth = ran ? AttemptStatus.RUN : AttemptStatus.NOT_RUN;
+        ClaimStatus truth = ran ? ClaimStatus.RUN : ClaimStatus.NOT_RUN;
         int told = random.nextInt(4);
         if (told > 0) {
-            at(Duration.ofMillis(random.nextInt(2_000)), () -> complete(id, told == 1 ? AttemptStatus.UNKNOWN : truth));
+            at(Duration.ofMillis(random.nextInt(2_000)), () -> complete(id, told == 1 ? ClaimStatus.UNKNOWN : truth));
         }
     }
 
-    private void complete(String id, AttemptStatus status) {
+    private void complete(String id, ClaimStatus status) {
         ClaimCompletion completion = new ClaimCompletion(KEY, DIGEST, id, status, Optional.empty());
-        for (String holder : ClaimHistory.holders(view("vm0"), KEY)) {
+        for (String holder : ClaimCoverage.holders(view("vm0"), KEY)) {
             send(() -> holders.get(holder).complete(completion, now));
             send(() -> holders.get(holder).complete(completion, now));
         }
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimRoundTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimRoundTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.coppershelf.backend.BackendResult.Answer;
-import io.coppershelf.claim.Claims.Verdict;
+import io.coppershelf.claim.Claims;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Optional;
@@ -37,7 +37,7 @@
         ClaimRound round = new ClaimRound(ids);
         List<String> said = answers == null ? List.of() : Arrays.asList(answers.split(" "));
         for (int i = 0; i < said.size(); i++) {
-            round.onReply(ids.get(i), HolderAnswer.of(HolderAnswer.Verdict.valueOf(said.get(i))));
+            round.onReply(ids.get(i), HolderDecision.of(HolderDecision.Kind.valueOf(said.get(i))));
         }
         assertThat(name(round.verdict())).isEqualTo(expected);
     }
@@ -46,7 +46,7 @@
     void countsEachHolderOnceAndNoStrangers() {
         ClaimRound round = new ClaimRound(List.of("a", "b", "c", "d", "e"));
         List.of("a", "a", "b", "x", "c", "c")
-                .forEach(id -> round.onReply(id, HolderAnswer.of(HolderAnswer.Verdict.ACCEPTED)));
+                .forEach(id -> round.onReply(id, HolderDecision.of(HolderDecision.Kind.ACCEPTED)));
         assertThat(round.verdict()).isEmpty();
     }
 
@@ -54,17 +54,17 @@
     void handsTheKeptAnswerOfTheFirstAttemptBack() {
         Answer answer = new Answer(201, List.of(), new byte[0]);
         ClaimRound round = new ClaimRound(List.of("a", "b", "c"));
-        HolderAnswer ran = new HolderAnswer(HolderAnswer.Verdict.RUN, Optional.of(answer));
-        assertThat(round.onReply("b", ran)).hasValue(new Verdict.Answered(answer));
-        assertThat(round.onReply("a", HolderAnswer.of(HolderAnswer.Verdict.ACCEPTED)))
+        HolderDecision ran = new HolderDecision(HolderDecision.Kind.RUN, Optional.of(answer));
+        assertThat(round.onReply("b", ran)).hasValue(new Claims.ClaimResult.Answered(answer));
+        assertThat(round.onReply("a", HolderDecision.of(HolderDecision.Kind.ACCEPTED)))
                 .isEmpty();
     }
 
-    private static String name(Optional<Verdict> verdict) {
+    private static String name(Optional<Claims.ClaimResult> verdict) {
         if (verdict.isEmpty()) {
             return "OPEN";
         }
-        return verdict.get() instanceof Verdict.Rejected rejected
+        return verdict.get() instanceof Claims.ClaimResult.Rejected rejected
                 ? rejected.error().name()
                 : CLAIMED;
     }
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimTableTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimTableTest.java
@@ -3,7 +3,6 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.coppershelf.backend.BackendResult.Answer;
-import io.coppershelf.claim.internal.HolderAnswer.Verdict;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -23,81 +22,81 @@
 
     private final ClaimTable table = new ClaimTable(3);
 
-    private Verdict claim(String attempt, long now) {
+    private HolderDecision.Kind claim(String attempt, long now) {
         return table.claim("k", DIGEST, attempt, REMAINING, now).verdict();
     }
 
-    private void complete(String attempt, AttemptStatus status) {
+    private void complete(String attempt, ClaimStatus status) {
         table.complete("k", DIGEST, attempt, status, Optional.of(ANSWER), 0);
     }
 
     @ParameterizedTest
     @CsvSource({"RUN,RUN", "UNKNOWN,UNKNOWN", "NOT_RUN,ACCEPTED", "RUNNING,RUNNING"})
-    void repeatLearnsTheTruthOfTheFirst(AttemptStatus end, Verdict expected) {
-        assertThat(claim("a1", 0)).isEqualTo(Verdict.ACCEPTED);
+    void repeatLearnsTheTruthOfTheFirst(ClaimStatus end, HolderDecision.Kind expected) {
+        assertThat(claim("a1", 0)).isEqualTo(HolderDecision.Kind.ACCEPTED);
         complete("a1", end);
-        long inTime = end == AttemptStatus.RUNNING ? 0 : 1;
+        long inTime = end == ClaimStatus.RUNNING ? 0 : 1;
         assertThat(claim("a2", inTime)).isEqualTo(expected);
     }
 
     @ParameterizedTest
-    @EnumSource(AttemptStatus.class)
-    void endThatOvertakesTheClaimCounts(AttemptStatus end) {
+    @EnumSource(ClaimStatus.class)
+    void endThatOvertakesTheClaimCounts(ClaimStatus end) {
         complete("a1", end);
-        if (end != AttemptStatus.RUNNING) {
-            assertThat(claim("a1", 0)).isEqualTo(Verdict.RUNNING);
+        if (end != ClaimStatus.RUNNING) {
+            assertThat(claim("a1", 0)).isEqualTo(HolderDecision.Kind.RUNNING);
         }
-        assertThat(claim("a2", 0) == Verdict.ACCEPTED).isEqualTo(end == AttemptStatus.NOT_RUN);
+        assertThat(claim("a2", 0) == HolderDecision.Kind.ACCEPTED).isEqualTo(end == ClaimStatus.NOT_RUN);
     }
 
     @Test
     void attemptWhoseEndIsOverdueCountsAsUnknown() {
         claim("a1", 0);
         long overdue = REMAINING.plus(ClaimLimits.COMPLETION_MARGIN).toNanos();
-        assertThat(claim("a2", overdue - 1)).isEqualTo(Verdict.RUNNING);
-        assertThat(claim("a2", overdue)).isEqualTo(Verdict.UNKNOWN);
+        assertThat(claim("a2", overdue - 1)).isEqualTo(HolderDecision.Kind.RUNNING);
+        assertThat(claim("a2", overdue)).isEqualTo(HolderDecision.Kind.UNKNOWN);
     }
 
     @Test
     void refusesOtherContentUntilTheFirstIsProvedNotRun() {
         claim("a1", 0);
         RequestDigest other = new RequestDigest(1, 3);
-        assertThat(table.claim("k", other, "a2", REMAINING, 0).verdict()).isEqualTo(Verdict.REUSED);
-        complete("a1", AttemptStatus.NOT_RUN);
-        assertThat(table.claim("k", other, "a2", REMAINING, 0).verdict()).isEqualTo(Verdict.ACCEPTED);
+        assertThat(table.claim("k", other, "a2", REMAINING, 0).verdict()).isEqualTo(HolderDecision.Kind.REUSED);
+        complete("a1", ClaimStatus.NOT_RUN);
+        assertThat(table.claim("k", other, "a2", REMAINING, 0).verdict()).isEqualTo(HolderDecision.Kind.ACCEPTED);
     }
 
     @Test
     void refusesNewKeysWhenFullAndForgetsNothingWithinTheWindow() {
         long window = ClaimLimits.WINDOW.toNanos();
         for (String key : List.of("x", "y", "z")) {
-            assertThat(table.claim(key, DIGEST, "a", REMAINING, 0).verdict()).isEqualTo(Verdict.ACCEPTED);
+            assertThat(table.claim(key, DIGEST, "a", REMAINING, 0).verdict()).isEqualTo(HolderDecision.Kind.ACCEPTED);
         }
-        assertThat(claim("a1", window - 1)).isEqualTo(Verdict.FULL);
+        assertThat(claim("a1", window - 1)).isEqualTo(HolderDecision.Kind.FULL);
         assertThat(table.claim("x", DIGEST, "b", REMAINING, window - 1).verdict())
-                .isEqualTo(Verdict.UNKNOWN);
-        assertThat(claim("a1", window)).isEqualTo(Verdict.ACCEPTED);
+                .isEqualTo(HolderDecision.Kind.UNKNOWN);
+        assertThat(claim("a1", window)).isEqualTo(HolderDecision.Kind.ACCEPTED);
         assertThat(table.size()).isEqualTo(1);
     }
 
     @Test
     void keepsAnswersUpToTheirLimitAndTheFactThatItRanBeyondIt() {
         Answer large = new Answer(200, List.of(), new byte[ClaimLimits.LARGEST_KEPT_ANSWER + 1]);
-        table.complete("k", DIGEST, "a1", AttemptStatus.RUN, Optional.of(large), 0);
-        HolderAnswer repeat = table.claim("k", DIGEST, "a2", REMAINING, 0);
-        assertThat(repeat).isEqualTo(HolderAnswer.of(Verdict.RUN));
-        table.complete("k", DIGEST, "a1", AttemptStatus.RUN, Optional.of(ANSWER), 0);
+        table.complete("k", DIGEST, "a1", ClaimStatus.RUN, Optional.of(large), 0);
+        HolderDecision repeat = table.claim("k", DIGEST, "a2", REMAINING, 0);
+        assertThat(repeat).isEqualTo(HolderDecision.of(HolderDecision.Kind.RUN));
+        table.complete("k", DIGEST, "a1", ClaimStatus.RUN, Optional.of(ANSWER), 0);
         assertThat(table.claim("k", DIGEST, "a2", REMAINING, 0).answer()).hasValue(ANSWER);
         assertThat(table.answerBytes()).isEqualTo(1);
     }
 
     @Test
     void orderAndRepetitionOfNewsMakeNoDifference() {
-        List<TransferredAttempt> news = new ArrayList<>();
-        for (AttemptStatus status : AttemptStatus.values()) {
+        List<TransferredClaim> news = new ArrayList<>();
+        for (ClaimStatus status : ClaimStatus.values()) {
             for (String attempt : List.of("a1", "a2")) {
-                Optional<Answer> answer = status == AttemptStatus.RUN ? Optional.of(ANSWER) : Optional.empty();
-                news.add(new TransferredAttempt(
+                Optional<Answer> answer = status == ClaimStatus.RUN ? Optional.of(ANSWER) : Optional.empty();
+                news.add(new TransferredClaim(
                         "k",
                         attempt,
                         DIGEST,
@@ -108,7 +107,7 @@
             }
         }
         Random random = new Random(1);
-        List<TransferredAttempt> expected = merged(news);
+        List<TransferredClaim> expected = merged(news);
         for (int i = 0; i < 50; i++) {
             news.add(news.get(random.nextInt(news.size())));
             Collections.shuffle(news, random);
@@ -116,7 +115,7 @@
         }
     }
 
-    private static List<TransferredAttempt> merged(List<TransferredAttempt> news) {
+    private static List<TransferredClaim> merged(List<TransferredClaim> news) {
         ClaimTable table = new ClaimTable(10);
         news.forEach(attempt -> table.merge(attempt, 0));
         return table.page("", key -> true, 0).attempts();
--- a/coppershelf/src/test/java/io/coppershelf/cli/internal/RequestStoryTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/cli/internal/RequestTraceTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-final class RequestStoryTest {
+final class RequestTraceTest {
     private final List<LogLine> lines = Stream.of(
                     "{\"at\":1000,\"vm\":\"vm-1\",\"event\":\"server-suspected\",\"server\":\"i-1@5\",\"sickness\":0.8}",
                     "{\"at\":1100,\"vm\":\"vm-2\",\"event\":\"server-suspected\",\"server\":\"i-1@5\"}",
@@ -23,26 +23,26 @@
 
     @Test
     void storyHoldsTheRequestAndWhatItsVmBelievedOfItsServers() {
-        assertThat(RequestStory.of("r", lines).stream().map(LogLine::atMillis).toList())
+        assertThat(RequestTrace.of("r", lines).stream().map(LogLine::atMillis).toList())
                 .containsExactly(1000L, 1300L, 1301L)
                 .inOrder();
     }
 
     @Test
     void causeNamesTheOutcomeAndTheLastAttempt() {
-        assertThat(RequestStory.cause("r", RequestStory.of("r", lines)))
+        assertThat(RequestTrace.cause("r", RequestTrace.of("r", lines)))
                 .isEqualTo(
                         "cause: server-lost, the answer was lost; last attempt at i-1 ended LOST (closed by the server)");
     }
 
     @Test
     void unknownRequestHasNoStory() {
-        assertThat(RequestStory.of("other", lines)).isEmpty();
+        assertThat(RequestTrace.of("other", lines)).isEmpty();
     }
 
     @Test
     void requestWithoutAnEndIsTold() {
         List<LogLine> cut = lines.subList(0, 4);
-        assertThat(RequestStory.cause("r", RequestStory.of("r", cut))).contains("no line tells how the request ended");
+        assertThat(RequestTrace.cause("r", RequestTrace.of("r", cut))).contains("no line tells how the request ended");
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
@@ -3,16 +3,16 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import com.google.common.collect.Range;
-import io.coppershelf.admission.AdmissionPart;
-import io.coppershelf.backend.BackendPart;
-import io.coppershelf.caller.CallerPart;
-import io.coppershelf.kernel.Part;
+import io.coppershelf.admission.AdmissionComponent;
+import io.coppershelf.backend.BackendComponent;
+import io.coppershelf.caller.CallerComponent;
+import io.coppershelf.kernel.Component;
 import io.coppershelf.outcome.Outcome;
-import io.coppershelf.routing.RoutingPart;
+import io.coppershelf.routing.RoutingComponent;
 import io.coppershelf.settings.Settings;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.FakeBackendServer.Received;
-import io.coppershelf.testing.FakeParts;
+import io.coppershelf.testing.FakeComponents;
 import io.coppershelf.testing.RawCaller;
 import io.coppershelf.testing.RawCaller.Reply;
 import java.io.IOException;
@@ -32,15 +32,15 @@
     private static final String CLAIM = "POST /claims HTTP/1.1\nHost: x\nIdempotency-Key: k1\nContent-Length: 2\n\nhi";
 
     private FakeBackendServer server;
-    private FakeParts fakes;
+    private FakeComponents fakes;
     private Daemon daemon;
 
     private void start(FakeBackendServer.Script script) throws IOException {
         server = FakeBackendServer.start(script);
-        fakes = FakeParts.of(FakeParts.server(server.port(), 2));
+        fakes = FakeComponents.of(FakeComponents.server(server.port(), 2));
         Settings settings = new Settings(
-                FakeParts.SELF.id(),
-                FakeParts.SELF.dataCentre(),
+                FakeComponents.SELF.id(),
+                FakeComponents.SELF.dataCentre(),
                 "127.0.0.1",
                 0,
                 0,
@@ -50,8 +50,9 @@
                 20,
                 4,
                 8_000);
-        CallerPart caller = new CallerPart();
-        List<Part> parts = List.of(fakes, new BackendPart(), new AdmissionPart(), new RoutingPart());
+        CallerComponent caller = new CallerComponent();
+        List<Component> parts =
+                List.of(fakes, new BackendComponent(), new AdmissionComponent(), new RoutingComponent());
         daemon = Daemon.start(settings, parts, caller);
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/RetryBudgetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/FleetRetryBudgetTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Pattern: a service fails every request, and each of many VMs with little traffic wants to send each one again. */
-final class RetryBudgetTest {
+final class FleetRetryBudgetTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
     @Test
@@ -18,7 +18,7 @@
         int requestsPerVm = 15;
         int repeats = 0;
         for (int vm = 0; vm < vms; vm++) {
-            RetryBudget budget = budget();
+            FleetRetryBudget budget = budget();
             for (int i = 0; i < requestsPerVm; i++) {
                 budget.countRequest("s", 0);
                 repeats += budget.tryAcquire("s", vms, 0) ? 1 : 0;
@@ -30,7 +30,7 @@
 
     @Test
     void noWindowHasMoreRepeatsThanTheShare() {
-        RetryBudget budget = budget();
+        FleetRetryBudget budget = budget();
         List<Long> times = new ArrayList<>();
         for (int tenth = 0; tenth < 600; tenth++) {
             long now = tenth * SECOND / 10;
@@ -49,14 +49,14 @@
 
     @Test
     void servicesHaveBudgetsOfTheirOwn() {
-        RetryBudget budget = budget();
+        FleetRetryBudget budget = budget();
         while (budget.tryAcquire("busy", 1, 0)) {
             budget.countRequest("other", 0);
         }
         assertThat(budget.tryAcquire("other", 1, 0)).isTrue();
     }
 
-    private static RetryBudget budget() {
-        return new RetryBudget(0.2, 58, Duration.ofSeconds(10));
+    private static FleetRetryBudget budget() {
+        return new FleetRetryBudget(0.2, 58, Duration.ofSeconds(10));
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/ServiceSpreadTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/IdleServerTrackerTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Pattern: some servers fail grayly, and all work goes to the few that were proven last. */
-final class ServiceSpreadTest {
+final class IdleServerTrackerTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    private final ServiceSpread spread = new ServiceSpread();
+    private final IdleServerTracker spread = new IdleServerTracker();
     private final List<BackendServer> servers = IntStream.range(0, 10)
             .mapToObj(number -> Catalogs.server("i-" + number, "here"))
             .toList();
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/RequestPlanTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/RequestPlanTest.java
@@ -24,7 +24,7 @@
     @Test
     void onceRequestIsNotSentAgainAfterALostAnswer() {
         RequestPlan plan = started(RequestKind.ONCE);
-        Step.Fail fail = fail(plan.lost(0, MILLI));
+        PlanStep.Fail fail = fail(plan.lost(0, MILLI));
         assertThat(fail.kind()).isEqualTo(ErrorKind.SERVER_LOST);
         assertThat(fail.kind().outcome()).isEqualTo(Outcome.UNKNOWN);
     }
@@ -45,7 +45,7 @@
     void refusalByAllServersIsToldAsNotRunWithATimeToComeBack() {
         RequestPlan plan = started(RequestKind.ONCE);
         plan.notRun(0, MILLI);
-        Step.Fail fail = fail(plan.notRun(1, MILLI));
+        PlanStep.Fail fail = fail(plan.notRun(1, MILLI));
         assertThat(fail.kind()).isEqualTo(ErrorKind.SERVER_REFUSED);
         assertThat(fail.retryAfter()).isPresent();
     }
@@ -61,8 +61,8 @@
     void failureOfTheServerIsDeliveredWhenNoServerIsLeft() {
         RequestPlan plan = started(RequestKind.REPEATABLE);
         plan.failed(0, MILLI);
-        List<Step> steps = plan.failed(1, 2 * MILLI);
-        assertThat(steps).containsExactly(new Step.Deliver(0));
+        List<PlanStep> steps = plan.failed(1, 2 * MILLI);
+        assertThat(steps).containsExactly(new PlanStep.Deliver(0));
     }
 
     @Test
@@ -77,7 +77,7 @@
     void emptyBudgetKeepsARequestFromBeingSentAgain() {
         choice.hasBudget = false;
         RequestPlan plan = started(RequestKind.REPEATABLE);
-        assertThat(plan.failed(0, MILLI)).containsExactly(new Step.Deliver(0));
+        assertThat(plan.failed(0, MILLI)).containsExactly(new PlanStep.Deliver(0));
     }
 
     @Test
@@ -93,13 +93,13 @@
         long due = plan.nextTimer(0);
         assertThat(due).isLessThan(2000 * MILLI);
         assertThat(send(plan.timerExpired(due)).server().id()).isEqualTo("b");
-        assertThat(plan.answered(1)).containsExactly(new Step.Deliver(1));
+        assertThat(plan.answered(1)).containsExactly(new PlanStep.Deliver(1));
     }
 
     @Test
     void slowOnceRequestStaysWhereItIsAndTheServerIsReported() {
         RequestPlan plan = started(RequestKind.ONCE);
-        assertThat(plan.timerExpired(plan.nextTimer(0))).containsExactly(new Step.ReportStall(0));
+        assertThat(plan.timerExpired(plan.nextTimer(0))).containsExactly(new PlanStep.ReportStall(0));
         assertThat(plan.nextTimer(3000 * MILLI)).isEqualTo(DEADLINE);
     }
 
@@ -112,7 +112,7 @@
     @Test
     void requestWithoutAnyServerIsRefusedAtOnce() {
         RequestPlan plan = plan(RequestKind.ONCE, new FakeChoice());
-        Step.Fail fail = fail(plan.start(0));
+        PlanStep.Fail fail = fail(plan.start(0));
         assertThat(fail.kind()).isEqualTo(ErrorKind.NO_SERVER);
         assertThat(fail.retryAfter()).isPresent();
     }
@@ -146,23 +146,23 @@
         return plan;
     }
 
-    private static RequestPlan plan(RequestKind kind, ServerChoice choice) {
+    private static RequestPlan plan(RequestKind kind, AttemptAllocator choice) {
         return new RequestPlan(Catalogs.route(kind), choice, DEADLINE, new TypicalLatency());
     }
 
-    private static Step.Send send(List<Step> steps) {
+    private static PlanStep.Send send(List<PlanStep> steps) {
         assertThat(steps).hasSize(1);
-        assertThat(steps.get(0)).isInstanceOf(Step.Send.class);
-        return (Step.Send) steps.get(0);
+        assertThat(steps.get(0)).isInstanceOf(PlanStep.Send.class);
+        return (PlanStep.Send) steps.get(0);
     }
 
-    private static Step.Fail fail(List<Step> steps) {
+    private static PlanStep.Fail fail(List<PlanStep> steps) {
         assertThat(steps).hasSize(1);
-        assertThat(steps.get(0)).isInstanceOf(Step.Fail.class);
-        return (Step.Fail) steps.get(0);
+        assertThat(steps.get(0)).isInstanceOf(PlanStep.Fail.class);
+        return (PlanStep.Fail) steps.get(0);
     }
 
-    private static final class FakeChoice implements ServerChoice {
+    private static final class FakeChoice implements AttemptAllocator {
         private final Deque<BackendServer> servers = new ArrayDeque<>();
         private boolean hasBudget = true;
         private boolean isLastChance;
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.belief.BeliefTable;
+import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.RequestKind;
@@ -17,9 +17,9 @@
 final class ServerChooserTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    private final BeliefTable beliefs = new BeliefTable();
+    private final HealthEstimates beliefs = new HealthEstimates();
     private final FleetLoad fleetLoad = new FleetLoad();
-    private final ServiceSpread spread = new ServiceSpread();
+    private final IdleServerTracker spread = new IdleServerTracker();
     private final ServerChooser chooser = new ServerChooser("here", beliefs, fleetLoad, spread, new Random(7));
     private final BackendServer near = Catalogs.server("near", "here");
     private final BackendServer far = Catalogs.server("far", "there");
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/FloorSafetyTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/FloorSafetyTest.java
@@ -28,7 +28,7 @@
     @ParameterizedTest
     @MethodSource("faultsAndSeeds")
     void neverEjectsBelowTheFloorAndRecovers(Fault fault, int seed) {
-        FloorFleet fleet = new FloorFleet(seed, 9, RULES);
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(seed, 9, RULES);
         fleet.run(WARM_UP);
         Random random = new Random(seed);
         for (int i = 0; i < 4; i++) {
@@ -45,7 +45,7 @@
 
     @Test
     void raisedFloorReturnsServersAtOnceOnEachVmThatKnowsIt() {
-        FloorFleet fleet = new FloorFleet(1, 9, RULES);
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, 9, RULES);
         fleet.run(WARM_UP);
         FakeConfiguration raised = new FakeConfiguration(2, 14, 13, 0);
         fleet.ids().forEach(id -> fleet.configure(id, raised));
@@ -57,14 +57,14 @@
 
     @Test
     void drainingServersCountAgainstTheFloor() {
-        FloorFleet fleet = new FloorFleet(1, 9, new FakeConfiguration(1, 14, 11, 3));
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, 9, new FakeConfiguration(1, 14, 11, 3));
         fleet.run(WARM_UP);
         assertThat(fleet.ejected()).doesNotContain(FakeConfiguration.server(7));
     }
 
     @Test
     void reportedServersCountAgainstTheFloorWhateverVmIsGranter() {
-        FloorFleet fleet = new FloorFleet(1, 9, RULES);
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, 9, RULES);
         fleet.ids().forEach(id -> List.of(0, 1, 2).forEach(server -> fleet.reportDraining(id, server)));
         fleet.run(WARM_UP);
         assertThat(fleet.ejected()).containsNoneOf(FakeConfiguration.server(3), FakeConfiguration.server(9));
@@ -73,7 +73,7 @@
     @ParameterizedTest
     @MethodSource("smallFleets")
     void smallFleetsGrantOnlyWithThreeVotersOrMore(int vms, boolean grants) {
-        FloorFleet fleet = new FloorFleet(1, vms, RULES);
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, vms, RULES);
         fleet.setLoss(0);
         fleet.run(WARM_UP);
         assertThat(fleet.maxOutOfService() > 0).isEqualTo(grants);
@@ -91,31 +91,31 @@
     enum Fault {
         NONE {
             @Override
-            void inject(FloorFleet fleet, Random random) {}
+            void inject(SimulatedFloorFleet fleet, Random random) {}
         },
         LOSS {
             @Override
-            void inject(FloorFleet fleet, Random random) {
+            void inject(SimulatedFloorFleet fleet, Random random) {
                 fleet.setLoss(0.4);
             }
         },
         PAUSE {
             @Override
-            void inject(FloorFleet fleet, Random random) {
+            void inject(SimulatedFloorFleet fleet, Random random) {
                 fleet.pause(any(fleet, random), Duration.ofSeconds(30));
                 fleet.pause(any(fleet, random), Duration.ofMillis(500 + random.nextInt(12_000)));
             }
         },
         RESTART {
             @Override
-            void inject(FloorFleet fleet, Random random) {
+            void inject(SimulatedFloorFleet fleet, Random random) {
                 fleet.restart(any(fleet, random));
                 fleet.restart(any(fleet, random));
             }
         },
         CUT_ONE_WAY {
             @Override
-            void inject(FloorFleet fleet, Random random) {
+            void inject(SimulatedFloorFleet fleet, Random random) {
                 String cut = any(fleet, random);
                 boolean in = random.nextBoolean();
                 fleet.ids().forEach(id -> fleet.cutLink(in ? id : cut, in ? cut : id));
@@ -123,7 +123,7 @@
         },
         SPLIT {
             @Override
-            void inject(FloorFleet fleet, Random random) {
+            void inject(SimulatedFloorFleet fleet, Random random) {
                 fleet.healNetwork();
                 int at = 1 + random.nextInt(fleet.ids().size() - 1);
                 List<String> left = fleet.ids().subList(0, at);
@@ -138,7 +138,7 @@
         },
         TWO_LISTS {
             @Override
-            void inject(FloorFleet fleet, Random random) {
+            void inject(SimulatedFloorFleet fleet, Random random) {
                 List<String> shorter =
                         fleet.ids().subList(random.nextInt(3), fleet.ids().size());
                 fleet.ids().forEach(id -> fleet.setVmList(id, random.nextBoolean() ? shorter : fleet.ids(), Set.of()));
@@ -146,16 +146,16 @@
         },
         ALL {
             @Override
-            void inject(FloorFleet fleet, Random random) {
+            void inject(SimulatedFloorFleet fleet, Random random) {
                 Fault[] others = {LOSS, PAUSE, RESTART, CUT_ONE_WAY, SPLIT, TWO_LISTS};
                 others[random.nextInt(others.length)].inject(fleet, random);
                 others[random.nextInt(others.length)].inject(fleet, random);
             }
         };
 
-        abstract void inject(FloorFleet fleet, Random random);
+        abstract void inject(SimulatedFloorFleet fleet, Random random);
 
-        private static String any(FloorFleet fleet, Random random) {
+        private static String any(SimulatedFloorFleet fleet, Random random) {
             return fleet.ids().get(random.nextInt(fleet.ids().size()));
         }
     }
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/RightsHolderTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/GrantHolderTest.java
@@ -6,61 +6,59 @@
 import io.coppershelf.floor.internal.FloorAction.Refused;
 import io.coppershelf.floor.internal.FloorAction.Revoked;
 import io.coppershelf.floor.internal.FloorAction.Send;
-import io.coppershelf.floor.internal.FloorMessage.RightReply;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
-import io.coppershelf.floor.internal.FloorMessage.Verdict;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** A holder counts its rights from before it asked and ends them in time. */
-class RightsHolderTest {
+class GrantHolderTest {
     private static final VoterSet SET = new VoterSet(List.of("a", "b", "c"));
     private static final ServiceRules RULES = new ServiceRules(1, 3, Set.of());
     private static final long GRANT = FloorTiming.GRANT_DURATION.toNanos();
     private static final long RENEWAL = FloorTiming.GRANT_RENEWAL.toNanos();
     private static final long TIMEOUT = FloorTiming.ANSWER_TIMEOUT.toNanos();
 
-    private final RightsHolder holder = new RightsHolder(1);
+    private final GrantHolder holder = new GrantHolder(1);
 
-    private RightRequest ask(long now) {
+    private FloorMessage.GrantRequest ask(long now) {
         return request(holder.request("s", "s-1", SET, RULES, now));
     }
 
-    private static RightRequest request(List<FloorAction> actions) {
-        return (RightRequest) ((Send) actions.get(0)).message();
+    private static FloorMessage.GrantRequest request(List<FloorAction> actions) {
+        return (FloorMessage.GrantRequest) ((Send) actions.get(0)).message();
     }
 
-    private List<FloorAction> reply(RightRequest to, Verdict verdict, long now) {
-        return holder.onReply("a", new RightReply("s", "s-1", to.sequence(), verdict, ""), now);
+    private List<FloorAction> reply(FloorMessage.GrantRequest to, FloorMessage.GrantResult verdict, long now) {
+        return holder.onReply("a", new FloorMessage.GrantReply("s", "s-1", to.sequence(), verdict, ""), now);
     }
 
     @Test
     void countsALateGrantFromBeforeTheRequest() {
-        assertThat(reply(ask(0), Verdict.GRANTED, GRANT - 1)).containsExactly(new Granted("s", "s-1", GRANT));
+        assertThat(reply(ask(0), FloorMessage.GrantResult.GRANTED, GRANT - 1))
+                .containsExactly(new Granted("s", "s-1", GRANT));
         assertThat(holder.isLive("s", "s-1", GRANT)).isFalse();
     }
 
     @Test
     void takesNoGrantThatIsOver() {
-        assertThat(reply(ask(0), Verdict.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
+        assertThat(reply(ask(0), FloorMessage.GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
     }
 
     @Test
     void renewalDoesNotProlongARightThatHasLapsed() {
-        assertThat(reply(ask(0), Verdict.GRANTED, 1)).hasSize(1);
-        RightRequest renewal = ask(RENEWAL);
+        assertThat(reply(ask(0), FloorMessage.GrantResult.GRANTED, 1)).hasSize(1);
+        FloorMessage.GrantRequest renewal = ask(RENEWAL);
         assertThat(renewal.live()).isTrue();
-        assertThat(reply(renewal, Verdict.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
+        assertThat(reply(renewal, FloorMessage.GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
     }
 
     @Test
     void ignoresAnswersToEarlierRequestsAndAfterRelease() {
-        RightRequest first = ask(0);
-        RightRequest second = request(holder.onTick(service -> SET, TIMEOUT));
-        assertThat(reply(first, Verdict.GRANTED, TIMEOUT)).isEmpty();
+        FloorMessage.GrantRequest first = ask(0);
+        FloorMessage.GrantRequest second = request(holder.onTick(service -> SET, TIMEOUT));
+        assertThat(reply(first, FloorMessage.GrantResult.GRANTED, TIMEOUT)).isEmpty();
         assertThat(holder.release("s", "s-1", SET)).hasSize(3);
-        assertThat(reply(second, Verdict.GRANTED, TIMEOUT)).isEmpty();
+        assertThat(reply(second, FloorMessage.GrantResult.GRANTED, TIMEOUT)).isEmpty();
         assertThat(holder.liveGrants(TIMEOUT)).isEqualTo(0);
     }
 
@@ -77,11 +75,12 @@
 
     @Test
     void endsARightAtOnceWhenItsRenewalIsRefusedOrItsTimeIsOverOrTheAllowanceShrinks() {
-        reply(ask(0), Verdict.GRANTED, 1);
-        assertThat(reply(ask(RENEWAL), Verdict.REFUSED, RENEWAL)).containsExactly(new Revoked("s", "s-1"));
-        reply(ask(0), Verdict.GRANTED, 1);
+        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
+        assertThat(reply(ask(RENEWAL), FloorMessage.GrantResult.REFUSED, RENEWAL))
+                .containsExactly(new Revoked("s", "s-1"));
+        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
         assertThat(holder.onTick(service -> SET, GRANT)).containsExactly(new Revoked("s", "s-1"));
-        reply(ask(0), Verdict.GRANTED, 1);
+        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
         ServiceRules raised = new ServiceRules(2, 2, Set.of());
         assertThat(holder.onRules(service -> raised, service -> SET)).contains(new Revoked("s", "s-1"));
         assertThat(holder.liveGrants(1)).isEqualTo(0);
@@ -89,10 +88,10 @@
 
     @Test
     void stopsRenewingWhatIsNoLongerAskedFor() {
-        reply(ask(0), Verdict.GRANTED, 1);
+        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
         assertThat(holder.onTick(service -> SET, RENEWAL)).hasSize(1);
-        RightRequest renewal = request(holder.onTick(service -> SET, RENEWAL + TIMEOUT));
-        reply(renewal, Verdict.GRANTED, RENEWAL + TIMEOUT);
+        FloorMessage.GrantRequest renewal = request(holder.onTick(service -> SET, RENEWAL + TIMEOUT));
+        reply(renewal, FloorMessage.GrantResult.GRANTED, RENEWAL + TIMEOUT);
         assertThat(holder.onTick(service -> SET, GRANT)).isEmpty();
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/FloorFleet.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/SimulatedFloorFleet.java
@@ -18,7 +18,7 @@
  * The floor's state machines of several VMs with virtual time, a network that loses, delays and repeats, and clocks of
  * different rates. Every VM wants to eject servers all the time; after each grant the floor is checked.
  */
-final class FloorFleet {
+final class SimulatedFloorFleet {
     private static final long TICK_NANOS = Duration.ofMillis(100).toNanos();
 
     private final Random random;
@@ -32,7 +32,7 @@
     private long order;
     private int mostOut;
 
-    FloorFleet(long seed, int vms, FakeConfiguration configuration) {
+    SimulatedFloorFleet(long seed, int vms, FakeConfiguration configuration) {
         this.random = new Random(seed);
         this.configuration = configuration;
         List<Vm> list = new ArrayList<>();
@@ -161,7 +161,7 @@
         private Vm vm;
         private List<Vm> listed;
         private Set<String> unreachable = Set.of();
-        private FakeConfiguration configuration = FloorFleet.this.configuration;
+        private FakeConfiguration configuration = SimulatedFloorFleet.this.configuration;
         private FloorNode node;
         private long pausedUntil;
 
@@ -174,7 +174,7 @@
             vm = now;
             node = new FloorNode(view(), configuration, localNanos());
             FloorNode started = node;
-            at(FloorFleet.this.now, () -> tick(started));
+            at(SimulatedFloorFleet.this.now, () -> tick(started));
         }
 
         FakeFleetView view() {
--- a/coppershelf/src/test/java/io/coppershelf/gateway/MeasuredReaderTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/gateway/MeteredCatalogReaderTest.java
@@ -18,9 +18,9 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-final class MeasuredReaderTest {
+final class MeteredCatalogReaderTest {
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final MeasuredReader reader = new MeasuredReader(new AlternatingReader(), registry);
+    private final MeteredCatalogReader reader = new MeteredCatalogReader(new AlternatingReader(), registry);
     private final List<String> results = new ArrayList<>();
 
     @Test
--- a/coppershelf/src/test/java/io/coppershelf/health/internal/ComparisonsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/health/internal/ComparisonsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ComparisonsTest {
-    private static final UsualTime USUAL = new UsualTime(Math.log(50e6), 0.5);
+    private static final TypicalServiceTime USUAL = new TypicalServiceTime(Math.log(50e6), 0.5);
 
     @ParameterizedTest
     @CsvSource({"3, 20, 8", "5, 20, 4", "20, 20, 3"})
--- a/coppershelf/src/test/java/io/coppershelf/health/internal/ServerTimesTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/health/internal/ServerTimesTest.java
@@ -11,7 +11,7 @@
 class ServerTimesTest {
     @Test
     void holdsLongerForEachEjectionThatFollowsSoon() {
-        HoldTime holdTime = new HoldTime();
+        EjectionBackoff holdTime = new EjectionBackoff();
         assertThat(holdTime.wasRecentlyEjected()).isFalse();
         assertThat(holdTime.nextDuration(0)).isEqualTo(Duration.ofSeconds(5));
         assertThat(holdTime.nextDuration(0)).isEqualTo(Duration.ofSeconds(10));
@@ -24,7 +24,7 @@
 
     @Test
     void holdsShorterAgainAfterGoodService() {
-        HoldTime holdTime = new HoldTime();
+        EjectionBackoff holdTime = new EjectionBackoff();
         holdTime.nextDuration(0);
         holdTime.recordHealthy(Duration.ofSeconds(59).toNanos());
         assertThat(holdTime.wasRecentlyEjected()).isTrue();
--- a/coppershelf/src/test/java/io/coppershelf/health/internal/UsualTimesTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/health/internal/TypicalServiceTimesTest.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class UsualTimesTest {
+class TypicalServiceTimesTest {
     private static final String ROUTE = "rotavis/week";
     private static final long MILLI = Duration.ofMillis(1).toNanos();
 
-    private final UsualTimes usualTimes = new UsualTimes();
+    private final TypicalServiceTimes usualTimes = new TypicalServiceTimes();
 
     @Test
     void isNotMovedByOneSlowServerOfThree() {
--- a/coppershelf/src/test/java/io/coppershelf/kernel/internal/KernelTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/kernel/internal/ComponentManagerTest.java
@@ -3,8 +3,8 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,23 +12,23 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-class KernelTest {
+class ComponentManagerTest {
     private final List<String> steps = new ArrayList<>();
 
-    private Part part(String name, String failingStep) {
-        return new Part() {
+    private Component part(String name, String failingStep) {
+        return new Component() {
             @Override
             public String name() {
                 return name;
             }
 
             @Override
-            public void register(ServiceRegistry registry) {
+            public void register(ComponentRegistry registry) {
                 step("register");
             }
 
             @Override
-            public void start(ServiceRegistry registry) {
+            public void start(ComponentRegistry registry) {
                 step("start");
             }
 
@@ -53,7 +53,7 @@
 
     @Test
     void startsInOrderAndStopsInReverseOrderAfterTheAnnouncement() {
-        Kernel kernel = new Kernel(new ServiceRegistry(), List.of(part("a", ""), part("b", "")));
+        ComponentManager kernel = new ComponentManager(new ComponentRegistry(), List.of(part("a", ""), part("b", "")));
         kernel.start();
         kernel.stop(Duration.ofSeconds(1));
 
@@ -72,7 +72,8 @@
 
     @Test
     void stopsAllPartsThoughOneFails() {
-        Kernel kernel = new Kernel(new ServiceRegistry(), List.of(part("a", ""), part("b", "stop")));
+        ComponentManager kernel =
+                new ComponentManager(new ComponentRegistry(), List.of(part("a", ""), part("b", "stop")));
         kernel.start();
         kernel.stop(Duration.ofSeconds(1));
 
@@ -81,7 +82,8 @@
 
     @Test
     void stopsWhatHadStartedIfOnePartDoesNotStart() {
-        Kernel kernel = new Kernel(new ServiceRegistry(), List.of(part("a", ""), part("b", "start"), part("c", "")));
+        ComponentManager kernel = new ComponentManager(
+                new ComponentRegistry(), List.of(part("a", ""), part("b", "start"), part("c", "")));
 
         assertThrows(IllegalStateException.class, kernel::start);
 
--- a/coppershelf/src/test/java/io/coppershelf/membership/internal/FakeFleet.java
+++ b/coppershelf/src/test/java/io/coppershelf/membership/internal/FakeFleet.java
@@ -5,8 +5,6 @@
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
-import io.coppershelf.membership.internal.MembershipEvent.UpdatesHeard;
-import io.coppershelf.membership.internal.MembershipEvent.VerdictHeard;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -57,11 +55,11 @@
     }
 
     void leave(String id) {
-        nodes.get(id).on(new MembershipEvent.LeaveBegun());
+        nodes.get(id).on(new MembershipEvent.LeaveStarted());
     }
 
     void applyList(long revision, List<Vm> vms, List<String> readers) {
-        readers.forEach(id -> nodes.get(id).on(new MembershipEvent.Listed(revision, vms)));
+        readers.forEach(id -> nodes.get(id).on(new MembershipEvent.ListReceived(revision, vms)));
     }
 
     Vm vm(String id) {
@@ -148,7 +146,7 @@
                         on(new ProbeFailed(probe.target(), began));
                     }
                 });
-            } else if (action instanceof MembershipAction.ProbeThrough through) {
+            } else if (action instanceof MembershipAction.IndirectProbe through) {
                 long began = nowNanos;
                 deliver(
                         id,
@@ -158,21 +156,21 @@
                                 reached -> deliver(
                                         witness.id,
                                         id,
-                                        asker -> asker.on(
-                                                new VerdictHeard(through.target(), witness.id, reached, began)))));
+                                        asker -> asker.on(new MembershipEvent.IndirectProbeEnded(
+                                                through.target(), witness.id, reached, began)))));
             } else if (action instanceof MembershipAction.Pull pull) {
                 pull(pull.target().id());
             } else if (action instanceof MembershipAction.PullList pull) {
                 deliver(id, pull.target().id(), peer -> {
                     MembershipEvent list =
-                            new MembershipEvent.Listed(peer.decisions.listRevision(), peer.decisions.list());
+                            new MembershipEvent.ListReceived(peer.decisions.listRevision(), peer.decisions.list());
                     deliver(peer.id, id, asker -> asker.on(list));
                 });
             } else if (action instanceof MembershipAction.Join) {
                 pull(name(0));
-            } else if (action instanceof MembershipAction.TellLeaving told) {
+            } else if (action instanceof MembershipAction.SendLeave told) {
                 long incarnation = decisions.self().vm().incarnation();
-                deliver(id, told.target().id(), peer -> peer.on(new MembershipEvent.LeaveHeard(id, incarnation)));
+                deliver(id, told.target().id(), peer -> peer.on(new MembershipEvent.LeaveReceived(id, incarnation)));
             }
         }
 
@@ -195,7 +193,7 @@
                     return;
                 }
                 if (peer.decisions.isLive(self.vm())) {
-                    peer.on(new UpdatesHeard(id, updates));
+                    peer.on(new MembershipEvent.UpdatesReceived(id, updates));
                 }
                 peer.on(new Introduced(self));
                 peer.reply(id, peer.decisions.gossipFor(id), () -> end(isEnded, true, listener));
--- a/coppershelf/src/test/java/io/coppershelf/mesh/ConfigurationFetchTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/ConfigurationFetcherTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The load: a configuration is published while the platform refuses this VM. */
-final class ConfigurationFetchTest {
+final class ConfigurationFetcherTest {
     private final List<Long> pauses = new ArrayList<>();
     private final Deque<Runnable> later = new ArrayDeque<>();
     private final FakeReader platform = new FakeReader();
@@ -77,7 +77,7 @@
 
     @Test
     void newerAnnouncementDuringAPauseIsWhatTheNextTryAsksFor() {
-        ConfigurationFetch fetch = fetch();
+        ConfigurationFetcher fetch = fetch();
         fetch.announced(5);
         fetch.announced(6);
         assertThat(platform.calls).isEqualTo(1);
@@ -86,8 +86,8 @@
         assertThat(fetch.newestAnnounced()).isEqualTo(6);
     }
 
-    private ConfigurationFetch fetch() {
-        return new ConfigurationFetch(
+    private ConfigurationFetcher fetch() {
+        return new ConfigurationFetcher(
                 platform,
                 (onRead, onFailure) -> peer.ifPresentOrElse(onRead, () -> onFailure.accept("no other VM is known")),
                 (millis, action) -> {
--- a/coppershelf/src/test/java/io/coppershelf/mesh/FleetStateTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/FleetStateTest.java
@@ -82,7 +82,7 @@
         Random random = new Random(1);
         Membership membership = new Membership(address, 1, List.of(first, second), random, System.nanoTime());
         FleetState state =
-                new FleetState(loops.next(), platform, FleetEvidence.create(), membership, random, EventLog.NONE);
+                new FleetState(loops.next(), platform, FleetObservations.create(), membership, random, EventLog.NONE);
         state.start(address);
         return state;
     }
--- a/coppershelf/src/test/java/io/coppershelf/mesh/LoadReportTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/LoadReporterTest.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-final class LoadReportTest {
+final class LoadReporterTest {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long START = 5000 * MILLI;
 
-    private final LoadReport report = new LoadReport();
+    private final LoadReporter report = new LoadReporter();
 
-    LoadReportTest() {
+    LoadReporterTest() {
         report.pollDue(START);
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
@@ -17,9 +17,9 @@
         List<MeshMessage> messages = List.of(
                 new MeshMessage.Members(
                         List.of(new MemberEntry(new InetSocketAddress("127.0.0.1", 7), 3, 4, true)), true),
-                new MeshMessage.Evidence("i-1@5", Observation.STALL),
+                new MeshMessage.ServerObservation("i-1@5", Observation.STALL),
                 new MeshMessage.Load(List.of(-4L, 7L), List.of(0, 3)),
-                new MeshMessage.CatalogNews(1, 2, 3, 40, List.of(Catalogs.server("a", "here")), List.of("b")));
+                new MeshMessage.CatalogUpdate(1, 2, 3, 40, List.of(Catalogs.server("a", "here")), List.of("b")));
         for (MeshMessage message : messages) {
             assertThat(MeshCodec.decode(MeshCodec.encode(message))).isEqualTo(message);
         }
@@ -28,7 +28,7 @@
     @Test
     void truncatedMessagesAreRefused() {
         byte[] whole = MeshCodec.encode(
-                new MeshMessage.CatalogNews(1, 2, 3, 40, List.of(Catalogs.server("a", "here")), List.of("b")));
+                new MeshMessage.CatalogUpdate(1, 2, 3, 40, List.of(Catalogs.server("a", "here")), List.of("b")));
         for (int length = 0; length < whole.length; length++) {
             byte[] part = Arrays.copyOf(whole, length);
             assertThrows(IOException.class, () -> MeshCodec.decode(part));
@@ -37,7 +37,7 @@
 
     @Test
     void otherVersionsAreRefused() {
-        byte[] bytes = MeshCodec.encode(new MeshMessage.Evidence("i-1@5", Observation.STALL));
+        byte[] bytes = MeshCodec.encode(new MeshMessage.ServerObservation("i-1@5", Observation.STALL));
         bytes[0] = 9;
         IOException refused = assertThrows(IOException.class, () -> MeshCodec.decode(bytes));
         assertThat(refused).hasMessageThat().contains("version");
--- a/coppershelf/src/test/java/io/coppershelf/mesh/ReadingScheduleTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/PlatformReadScheduleTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Pattern: every VM needs changes within two seconds, but calls to the platform are few and dear. */
-final class ReadingScheduleTest {
+final class PlatformReadScheduleTest {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long OLD = TimeUnit.MINUTES.toNanos(1);
 
-    private final ReadingSchedule schedule = new ReadingSchedule(new Random(1));
+    private final PlatformReadSchedule schedule = new PlatformReadSchedule(new Random(1));
 
     @Test
     void newVmReadsAtOnce() {
--- a/coppershelf/src/test/java/io/coppershelf/operator/OperatorPartTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/operator/OperatorComponentTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.CoppershelfException;
@@ -31,15 +31,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class OperatorPartTest {
+class OperatorComponentTest {
     private static final String TICKET = """
             {"ticket": 4, "services": {"rotavis": {"floor": 2, "detectionWeight": 0.8}, "vagtbank": {"floor": 0, "detectionWeight": 0.8}},
              "servers": {"rotavis-1": {"service": "rotavis", "dataCentre": "viborg", "host": "127.0.0.1",
                                        "port": 7001, "slots": 6, "connections": 330}}}""";
 
     private final HttpClient client = HttpClient.newHttpClient();
-    private final ServiceRegistry registry = new ServiceRegistry();
-    private final OperatorPart part = new OperatorPart();
+    private final ComponentRegistry registry = new ComponentRegistry();
+    private final OperatorComponent part = new OperatorComponent();
 
     @BeforeEach
     void startPart() {
@@ -59,8 +59,8 @@
 
     @Test
     void showsTicketServicesOwnersFleetAndWhatPartsAdd() throws Exception {
-        registry.require(OperatorDesk.NAME).addStatus(status -> status.put("extra", 1));
-        registry.require(OperatorDesk.NAME).addStatus(status -> {
+        registry.require(OperatorRegistry.NAME).addStatus(status -> status.put("extra", 1));
+        registry.require(OperatorRegistry.NAME).addStatus(status -> {
             throw new IllegalStateException("broken part");
         });
 
@@ -77,7 +77,7 @@
 
     @Test
     void showsOneServiceOnRequest() throws Exception {
-        registry.require(OperatorDesk.NAME).addStatus(status -> {
+        registry.require(OperatorRegistry.NAME).addStatus(status -> {
             status.putArray("groups").addObject().put("service", "rotavis");
             status.withArray("groups").addObject().put("service", "vagtbank");
         });
@@ -94,7 +94,7 @@
     @Test
     void isReadyOnlyWhileAllConditionsHold() throws Exception {
         AtomicBoolean condition = new AtomicBoolean();
-        registry.require(OperatorDesk.NAME).addReadiness("tickets", condition::get);
+        registry.require(OperatorRegistry.NAME).addReadiness("tickets", condition::get);
 
         assertThat(get("/ready").statusCode()).isEqualTo(503);
         assertThat(get("/ready").body()).contains("tickets");
@@ -135,11 +135,11 @@
 
     @Test
     void saysWhichPortCannotBeBound() {
-        ServiceRegistry other = new ServiceRegistry();
+        ComponentRegistry other = new ComponentRegistry();
         other.register(Settings.NAME, settings(part.port()));
 
         CoppershelfException failure =
-                assertThrows(CoppershelfException.class, () -> new OperatorPart().register(other));
+                assertThrows(CoppershelfException.class, () -> new OperatorComponent().register(other));
 
         assertThat(failure.kind()).isEqualTo(ErrorKind.INVALID_SETTINGS);
         assertThat(failure).hasMessageThat().contains(":" + part.port());
--- a/coppershelf/src/test/java/io/coppershelf/operator/internal/LastingLogManagerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/operator/internal/ShutdownSafeLogManagerTest.java
@@ -7,16 +7,16 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-class LastingLogManagerTest {
+class ShutdownSafeLogManagerTest {
     @Test
     void keepsHandlersOnResetDuringShutdown() {
         Handler handler = new LineHandler(new ByteArrayOutputStream());
-        LastingLogManager manager = new LastingLogManager();
+        ShutdownSafeLogManager manager = new ShutdownSafeLogManager();
         Logger logger = new Logger("lasting", null) {};
         logger.addHandler(handler);
         manager.addLogger(logger);
 
-        LastingLogManager.keepHandlers();
+        ShutdownSafeLogManager.keepHandlers();
         manager.reset();
 
         assertThat(logger.getHandlers()).asList().containsExactly(handler);
--- a/coppershelf/src/test/java/io/coppershelf/proxy/FakeTrafficState.java
+++ b/coppershelf/src/test/java/io/coppershelf/proxy/FakeControlState.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** The control state of a VM that a test sets. */
-final class FakeTrafficState implements TrafficState {
+final class FakeControlState implements ControlState {
     private volatile Catalog catalog = Catalog.EMPTY;
     private volatile boolean isStopping;
     private final List<Observation> observations = new CopyOnWriteArrayList<>();
--- a/coppershelf/src/test/java/io/coppershelf/proxy/ProxyFixture.java
+++ b/coppershelf/src/test/java/io/coppershelf/proxy/ProxyFixture.java
@@ -1,18 +1,18 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.BeliefTable;
+import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.CallerLimits;
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.FleetConfiguration;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.Route;
-import io.coppershelf.catalog.RoutePart;
 import io.coppershelf.catalog.RouteTable;
 import io.coppershelf.catalog.ServerList;
+import io.coppershelf.catalog.WeightedService;
 import io.coppershelf.dispatch.FleetLoad;
-import io.coppershelf.dispatch.RetryBudget;
-import io.coppershelf.dispatch.ServiceSpread;
+import io.coppershelf.dispatch.FleetRetryBudget;
+import io.coppershelf.dispatch.IdleServerTracker;
 import io.coppershelf.eventlog.EventLog;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.FreePorts;
@@ -40,7 +40,7 @@
     private static final int LARGEST_BODY_BYTES = 5000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final FakeTrafficState state = new FakeTrafficState();
+    private final FakeControlState state = new FakeControlState();
     private final InetSocketAddress address;
     private final TrafficServer server;
 
@@ -50,10 +50,10 @@
                 group.next(),
                 NAMES,
                 state,
-                new BeliefTable(),
+                new HealthEstimates(),
                 new FleetLoad(),
-                new ServiceSpread(),
-                new RetryBudget(0.2, 58, Duration.ofSeconds(10)),
+                new IdleServerTracker(),
+                new FleetRetryBudget(0.2, 58, Duration.ofSeconds(10)),
                 "here",
                 new PrometheusRegistry(),
                 EventLog.NONE);
@@ -86,7 +86,7 @@
         return server;
     }
 
-    FakeTrafficState state() {
+    FakeControlState state() {
         return state;
     }
 
@@ -124,7 +124,7 @@
                 Duration.ofMillis(1000),
                 1,
                 2,
-                List.of(new RoutePart("ledger", 1)));
+                List.of(new WeightedService("ledger", 1)));
     }
 
     @Override
--- a/coppershelf/src/test/java/io/coppershelf/routing/internal/GroupChoiceTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/routing/internal/GroupChoiceTest.java
@@ -2,9 +2,9 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptResult.GroupLoad;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.TryResult;
-import io.coppershelf.admission.TryResult.GroupLoad;
 import io.coppershelf.outcome.ErrorKind;
 import java.time.Duration;
 import java.util.HashMap;
@@ -24,7 +24,7 @@
     @ParameterizedTest
     @CsvSource({"0, 0, herning", "5, 5, herning", "6, 5, viborg", "1, 0, viborg"})
     void prefersOwnDataCentreUnlessItsWaitIsWorse(long here, long there, String expected) {
-        GroupChoice choice = new GroupChoice("herning", new Random(1));
+        GroupSelector choice = new GroupSelector("herning", new Random(1));
 
         Optional<GroupName> chosen =
                 choice.select(List.of(VIBORG, HERNING), group -> group.equals(HERNING) ? here : there);
@@ -34,7 +34,7 @@
 
     @Test
     void neverChoosesTheWorstOfThreeAndSpreadsOverTheOthers() {
-        GroupChoice choice = new GroupChoice("vejle", new Random(1));
+        GroupSelector choice = new GroupSelector("vejle", new Random(1));
         Map<GroupName, Integer> counts = new HashMap<>();
         for (int i = 0; i < 1_000; i++) {
             GroupName chosen = choice.select(List.of(HERNING, VIBORG, ODENSE), group -> group.equals(ODENSE) ? 9 : 0)
@@ -49,20 +49,20 @@
 
     @Test
     void choosesNothingWithoutCandidate() {
-        assertThat(new GroupChoice("vejle", new Random(1)).select(List.of(), group -> 0))
+        assertThat(new GroupSelector("vejle", new Random(1)).select(List.of(), group -> 0))
                 .isEmpty();
     }
 
     @Test
     void forgetsLoadsAfterASecond() {
-        KnownLoads loads = new KnownLoads();
-        TryResult full = TryResult.failed(ErrorKind.SERVER_LOST).withLoad(new GroupLoad(0, 7_000_000));
+        GroupLoadCache loads = new GroupLoadCache();
+        AttemptResult full = AttemptResult.failed(ErrorKind.SERVER_LOST).withLoad(new GroupLoad(0, 7_000_000));
         loads.record(HERNING, full, 0);
-        loads.record(VIBORG, TryResult.failed(ErrorKind.OVERLOADED).withLoad(new GroupLoad(3, 0)), 0);
+        loads.record(VIBORG, AttemptResult.failed(ErrorKind.OVERLOADED).withLoad(new GroupLoad(3, 0)), 0);
 
         assertThat(loads.expectedWaitNanos(HERNING, 0)).isEqualTo(8_000_000);
         assertThat(loads.expectedWaitNanos(VIBORG, 0)).isEqualTo(1_000_000_000);
-        loads.record(VIBORG, TryResult.failed(ErrorKind.OVERLOADED).withLoad(new GroupLoad(0, 3_000_000_000L)), 0);
+        loads.record(VIBORG, AttemptResult.failed(ErrorKind.OVERLOADED).withLoad(new GroupLoad(0, 3_000_000_000L)), 0);
         assertThat(loads.expectedWaitNanos(VIBORG, 0)).isEqualTo(3_001_000_000L);
         assertThat(loads.expectedWaitNanos(ODENSE, 0)).isEqualTo(0);
         assertThat(loads.expectedWaitNanos(HERNING, Duration.ofSeconds(2).toNanos()))
@@ -71,7 +71,7 @@
 
     @Test
     void boundsRetriesToATenthOfFirstTries() {
-        RetryBudget budget = new RetryBudget();
+        ServiceRetryBudget budget = new ServiceRetryBudget();
         int spent = 0;
         for (int i = 0; i < 10_000; i++) {
             budget.recordFirstAttempt();
@@ -84,7 +84,7 @@
 
     @Test
     void findsUsualLatency() {
-        UsualLatency usual = new UsualLatency();
+        LatencyPercentile usual = new LatencyPercentile();
         Random random = new Random(3);
         assertThat(usual.estimateNanos()).isEmpty();
         for (int i = 0; i < 20_000; i++) {
--- a/coppershelf/src/test/java/io/coppershelf/routing/internal/RequestDecisionsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/routing/internal/RequestDecisionsTest.java
@@ -3,21 +3,16 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
+import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.TryResult;
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.RequestResult;
 import io.coppershelf.routing.internal.RequestAction.AnswerCaller;
-import io.coppershelf.routing.internal.RequestAction.CancelTry;
-import io.coppershelf.routing.internal.RequestAction.SendTry;
-import io.coppershelf.routing.internal.RequestAction.Settle;
 import io.coppershelf.routing.internal.RequestEvent.DeadlinePassed;
-import io.coppershelf.routing.internal.RequestEvent.GaveUp;
 import io.coppershelf.routing.internal.RequestEvent.HedgeDue;
 import io.coppershelf.routing.internal.RequestEvent.Started;
-import io.coppershelf.routing.internal.RequestEvent.TryEnded;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -39,27 +34,30 @@
 
     private final FakePolicy policy = new FakePolicy();
 
-    private static TryEnded ended(int number, ErrorKind error) {
-        return new TryEnded(number, TryResult.failed(error));
+    private static RequestEvent.AttemptEnded ended(int number, ErrorKind error) {
+        return new RequestEvent.AttemptEnded(number, AttemptResult.failed(error));
     }
 
-    private static TryEnded answered(int number) {
-        return new TryEnded(
-                number, new TryResult(Optional.of(ANSWER), Optional.empty(), Optional.empty(), Optional.empty()));
+    private static RequestEvent.AttemptEnded answered(int number) {
+        return new RequestEvent.AttemptEnded(
+                number, new AttemptResult(Optional.of(ANSWER), Optional.empty(), Optional.empty(), Optional.empty()));
     }
 
     private RequestDecisions started(boolean isIdempotent) {
         RequestDecisions decisions = new RequestDecisions(isIdempotent, policy);
-        assertThat(decisions.on(new Started())).containsExactly(new SendTry(1, HERE, 0, false));
+        assertThat(decisions.on(new Started())).containsExactly(new RequestAction.SendAttempt(1, HERE, 0, false));
         return decisions;
     }
 
     private static List<RequestAction> told(ErrorKind error) {
-        return List.of(new AnswerCaller(RequestResult.failed(error)), new Settle(error.outcome(), Optional.empty()));
+        return List.of(
+                new AnswerCaller(RequestResult.failed(error)),
+                new RequestAction.RecordOutcome(error.outcome(), Optional.empty()));
     }
 
-    private static final List<RequestAction> TOLD_ANSWER =
-            List.of(new AnswerCaller(RequestResult.answered(ANSWER)), new Settle(Outcome.RUN, Optional.of(ANSWER)));
+    private static final List<RequestAction> TOLD_ANSWER = List.of(
+            new AnswerCaller(RequestResult.answered(ANSWER)),
+            new RequestAction.RecordOutcome(Outcome.RUN, Optional.of(ANSWER)));
 
     @Test
     void answersCallerWithServersAnswer() {
@@ -71,7 +69,7 @@
     void neverSendsNonIdempotentWorkAgainWithoutProof(ErrorKind error) {
         List<RequestAction> actions = started(false).on(ended(1, error));
 
-        boolean isSentAgain = actions.stream().anyMatch(SendTry.class::isInstance);
+        boolean isSentAgain = actions.stream().anyMatch(RequestAction.SendAttempt.class::isInstance);
         assertWithMessage("sent again after %s", error)
                 .that(isSentAgain && error.outcome() != Outcome.NOT_RUN)
                 .isFalse();
@@ -98,7 +96,9 @@
             boolean isIdempotent, ErrorKind error, String dataCentre, int candidate, int budgetLeft) {
         List<RequestAction> actions = started(isIdempotent).on(ended(1, error));
 
-        assertThat(actions).containsExactly(new SendTry(2, new GroupName("vagtbank", dataCentre), candidate, false));
+        assertThat(actions)
+                .containsExactly(
+                        new RequestAction.SendAttempt(2, new GroupName("vagtbank", dataCentre), candidate, false));
         assertThat(policy.budget).isEqualTo(budgetLeft);
     }
 
@@ -115,21 +115,22 @@
         policy.groups = List.of(HERE);
 
         assertThat(started(false).on(ended(1, ErrorKind.SERVER_REFUSED)))
-                .containsExactly(new SendTry(2, HERE, 0, false));
-        assertThat(started(true).on(ended(1, ErrorKind.OWNER_LOST))).containsExactly(new SendTry(2, HERE, 1, false));
+                .containsExactly(new RequestAction.SendAttempt(2, HERE, 0, false));
+        assertThat(started(true).on(ended(1, ErrorKind.OWNER_LOST)))
+                .containsExactly(new RequestAction.SendAttempt(2, HERE, 1, false));
         assertThat(started(false).on(ended(1, ErrorKind.OVERLOADED))).isEqualTo(told(ErrorKind.OVERLOADED));
     }
 
     @Test
     void givesUpAfterAllOwnersOfAllGroups() {
         RequestDecisions decisions = started(false);
-        List<SendTry> sent = new ArrayList<>();
+        List<RequestAction.SendAttempt> sent = new ArrayList<>();
         List<RequestAction> actions = List.of();
         for (int number = 1; number <= 6; number++) {
             actions = decisions.on(ended(number, ErrorKind.OWNER_UNREACHABLE));
             actions.stream()
-                    .filter(SendTry.class::isInstance)
-                    .map(SendTry.class::cast)
+                    .filter(RequestAction.SendAttempt.class::isInstance)
+                    .map(RequestAction.SendAttempt.class::cast)
                     .forEach(sent::add);
         }
 
@@ -152,8 +153,8 @@
         policy.groups = List.of(HERE);
         Duration retryAfter = Duration.ofSeconds(7);
 
-        List<RequestAction> actions =
-                started(false).on(new TryEnded(1, TryResult.refused(ErrorKind.OVERLOADED, retryAfter)));
+        List<RequestAction> actions = started(false)
+                .on(new RequestEvent.AttemptEnded(1, AttemptResult.refused(ErrorKind.OVERLOADED, retryAfter)));
 
         assertThat(actions).contains(new AnswerCaller(RequestResult.failed(ErrorKind.OVERLOADED, retryAfter)));
     }
@@ -169,10 +170,10 @@
     void hedgesIdempotentWorkElsewhereAndCancelsTheSlowerTry() {
         RequestDecisions decisions = started(true);
 
-        assertThat(decisions.on(new HedgeDue())).containsExactly(new SendTry(2, THERE, 0, true));
+        assertThat(decisions.on(new HedgeDue())).containsExactly(new RequestAction.SendAttempt(2, THERE, 0, true));
         assertThat(decisions.on(new HedgeDue())).isEmpty();
         assertThat(decisions.on(answered(2)))
-                .containsExactly(TOLD_ANSWER.get(0), new CancelTry(1), TOLD_ANSWER.get(1))
+                .containsExactly(TOLD_ANSWER.get(0), new RequestAction.CancelAttempt(1), TOLD_ANSWER.get(1))
                 .inOrder();
         assertThat(decisions.on(answered(1))).isEmpty();
     }
@@ -198,36 +199,39 @@
     void tellsNotRunIfCancelledTryIsProvedNotRun(ErrorKind proof) {
         RequestDecisions decisions = started(false);
 
-        assertThat(decisions.on(new GaveUp())).containsExactly(new CancelTry(1));
+        assertThat(decisions.on(new RequestEvent.SendCutoffReached()))
+                .containsExactly(new RequestAction.CancelAttempt(1));
         assertThat(decisions.on(ended(1, proof))).isEqualTo(told(ErrorKind.DEADLINE_BEFORE_RUN));
         assertThat(decisions.on(new DeadlinePassed())).isEmpty();
     }
 
-    static Stream<TryEnded> lateEnds() {
+    static Stream<RequestEvent.AttemptEnded> lateEnds() {
         return Stream.of(answered(1), ended(1, ErrorKind.DEADLINE_BEFORE_RUN), ended(1, ErrorKind.SERVER_LOST));
     }
 
     @ParameterizedTest
     @MethodSource("lateEnds")
-    void tellsUnknownAtDeadlineAndSettlesWithTheTruthLater(TryEnded late) {
+    void tellsUnknownAtDeadlineAndSettlesWithTheTruthLater(RequestEvent.AttemptEnded late) {
         RequestDecisions decisions = started(false);
-        assertThat(decisions.on(new GaveUp())).hasSize(1);
+        assertThat(decisions.on(new RequestEvent.SendCutoffReached())).hasSize(1);
 
         assertThat(decisions.on(new DeadlinePassed()))
                 .containsExactly(new AnswerCaller(RequestResult.failed(ErrorKind.DEADLINE_PASSED)));
         Outcome truth = late.result().error().map(ErrorKind::outcome).orElse(Outcome.RUN);
         assertThat(decisions.on(late))
-                .containsExactly(new Settle(truth, late.result().answer()));
+                .containsExactly(
+                        new RequestAction.RecordOutcome(truth, late.result().answer()));
     }
 
     @Test
     void sendsNothingIfClaimComesAfterDeadline() {
         RequestDecisions decisions = new RequestDecisions(false, policy);
 
-        assertThat(decisions.on(new GaveUp())).isEmpty();
+        assertThat(decisions.on(new RequestEvent.SendCutoffReached())).isEmpty();
         assertThat(decisions.on(new DeadlinePassed()))
                 .containsExactly(new AnswerCaller(RequestResult.failed(ErrorKind.DEADLINE_BEFORE_RUN)));
-        assertThat(decisions.on(new Started())).containsExactly(new Settle(Outcome.NOT_RUN, Optional.empty()));
+        assertThat(decisions.on(new Started()))
+                .containsExactly(new RequestAction.RecordOutcome(Outcome.NOT_RUN, Optional.empty()));
     }
 
     static IntStream seeds() {
@@ -273,7 +277,7 @@
             if (roll == 0) {
                 return new HedgeDue();
             }
-            return roll == 1 ? new GaveUp() : end();
+            return roll == 1 ? new RequestEvent.SendCutoffReached() : end();
         }
 
         private RequestEvent end() {
@@ -293,13 +297,13 @@
 
         private void take(List<RequestAction> actions) {
             for (RequestAction action : actions) {
-                if (action instanceof SendTry send) {
+                if (action instanceof RequestAction.SendAttempt send) {
                     assertThat(isIdempotent || (open.isEmpty() && !mayHaveRun)).isTrue();
                     open.add(send.number());
                 } else if (action instanceof AnswerCaller answer) {
                     answers++;
                     checkTruth(answer.result());
-                } else if (action instanceof Settle settle) {
+                } else if (action instanceof RequestAction.RecordOutcome settle) {
                     settles++;
                     assertThat(settle.outcome() == Outcome.NOT_RUN && mayHaveRun)
                             .isFalse();
@@ -315,7 +319,7 @@
         }
     }
 
-    private static final class FakePolicy implements TryPolicy {
+    private static final class FakePolicy implements AttemptPolicy {
         private List<GroupName> groups = List.of(HERE, THERE);
         private int budget = 5;
 
--- a/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
@@ -3,7 +3,7 @@
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.Route;
-import io.coppershelf.catalog.RoutePart;
+import io.coppershelf.catalog.WeightedService;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
@@ -19,11 +19,11 @@
 
     /** Returns a route to one service, for two servers at most. */
     public static Route route(RequestKind kind) {
-        return route(kind, List.of(new RoutePart("ledger", 1)));
+        return route(kind, List.of(new WeightedService("ledger", 1)));
     }
 
     /** Returns a route to the parts. */
-    public static Route route(RequestKind kind, List<RoutePart> parts) {
+    public static Route route(RequestKind kind, List<WeightedService> parts) {
         return new Route("r", "host", "/a/", kind, Duration.ofSeconds(5), Duration.ofSeconds(2), 1, 2, parts);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/testing/FakeParts.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/FakeComponents.java
@@ -2,13 +2,13 @@
 
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.claim.Claims;
-import io.coppershelf.floor.EjectionRights;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.floor.EjectionGrants;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
-import io.coppershelf.operator.OperatorDesk;
-import io.coppershelf.operator.StatusSource;
+import io.coppershelf.operator.OperatorRegistry;
+import io.coppershelf.operator.StatusContributor;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.peer.PeerExchange;
@@ -34,7 +34,8 @@
 import java.util.function.BooleanSupplier;
 
 /** Stands for all parts around the traffic path: one VM alone, with a fixed configuration. */
-public final class FakeParts implements Part, Claims, EjectionRights, Timeline, OperatorDesk, PeerExchange {
+public final class FakeComponents
+        implements Component, Claims, EjectionGrants, Timeline, OperatorRegistry, PeerExchange {
     public static final Vm SELF = new Vm("vm-1", 1, "herning", "127.0.0.1", 1, 2, false);
     public static final String SERVICE = "vagtbank";
 
@@ -44,15 +45,15 @@
     public final List<BooleanSupplier> readiness = new CopyOnWriteArrayList<>();
     private final PrometheusRegistry metrics = new PrometheusRegistry();
     private final Configuration configuration;
-    private final Claims.Verdict verdict;
+    private final Claims.ClaimResult verdict;
 
-    private FakeParts(Configuration configuration, Claims.Verdict verdict) {
+    private FakeComponents(Configuration configuration, Claims.ClaimResult verdict) {
         this.configuration = configuration;
         this.verdict = verdict;
     }
 
     /** Returns parts with a service of the given servers and the usual request kinds. */
-    public static FakeParts of(ServerSpec... servers) {
+    public static FakeComponents of(ServerSpec... servers) {
         List<ObjectState> states = new ArrayList<>();
         List<ObjectSpec> specs = new ArrayList<>(List.of(servers));
         specs.add(new ServiceSpec(SERVICE, 0, 0.5));
@@ -60,12 +61,12 @@
         specs.forEach(spec -> states.add(ObjectState.present(spec)));
         ConfigurationStore store = new ConfigurationStore();
         store.apply(new Ticket(1, states));
-        return new FakeParts(store.snapshot(), new Claims.Verdict.Claimed());
+        return new FakeComponents(store.snapshot(), new Claims.ClaimResult.Claimed());
     }
 
     /** Returns the same parts with another verdict on all claims. */
-    public FakeParts claiming(Claims.Verdict newVerdict) {
-        return new FakeParts(configuration, newVerdict);
+    public FakeComponents claiming(Claims.ClaimResult newVerdict) {
+        return new FakeComponents(configuration, newVerdict);
     }
 
     public static List<RouteSpec> routes() {
@@ -92,24 +93,24 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         registry.register(Configuration.Source.NAME, new FixedConfiguration(configuration));
         registry.register(FleetView.Source.NAME, new FixedFleet());
         registry.register(Claims.NAME, this);
-        registry.register(EjectionRights.NAME, this);
+        registry.register(EjectionGrants.NAME, this);
         registry.register(Timeline.NAME, this);
-        registry.register(OperatorDesk.NAME, this);
+        registry.register(OperatorRegistry.NAME, this);
         registry.register(PeerExchange.NAME, this);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {}
+    public void start(ComponentRegistry registry) {}
 
     @Override
     public void stop(Duration limit) {}
 
     @Override
-    public CompletableFuture<Verdict> claim(InboundRequest request) {
+    public CompletableFuture<Claims.ClaimResult> claim(InboundRequest request) {
         return CompletableFuture.completedFuture(verdict);
     }
 
@@ -119,7 +120,7 @@
     }
 
     @Override
-    public void request(String service, String server, EjectionRights.Listener listener) {
+    public void request(String service, String server, EjectionGrants.Listener listener) {
         listener.refused(server);
     }
 
@@ -133,7 +134,7 @@
     public void record(Event event) {}
 
     @Override
-    public void addStatus(StatusSource source) {}
+    public void addStatus(StatusContributor source) {}
 
     @Override
     public void addReadiness(String name, BooleanSupplier condition) {
--- a/coppershelf/src/test/java/io/coppershelf/testing/PeerPair.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/LoopbackPeerExchange.java
@@ -16,7 +16,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** The exchange of one VM with itself: every message goes through its codec, and may be lost on the way. */
-public final class PeerPair implements PeerExchange {
+public final class LoopbackPeerExchange implements PeerExchange {
     private final Map<Class<?>, Registration<?>> registrations = new ConcurrentHashMap<>();
     private final String sender;
 
@@ -30,7 +30,7 @@
 
     public Fault fault = Fault.NONE;
 
-    public PeerPair(String sender) {
+    public LoopbackPeerExchange(String sender) {
         this.sender = sender;
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/FakeSpreadFleet.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/FakeSpreadFleet.java
@@ -148,11 +148,11 @@
                         announce.target(),
                         peer -> {
                             boolean wasKnown = peer.spread.hasSeen(announce.key());
-                            peer.handle(new SpreadEvent.Announced(vm.id(), announce.key()));
-                            return new SpreadEvent.AnnounceAnswered(
+                            peer.handle(new SpreadEvent.AnnouncementReceived(vm.id(), announce.key()));
+                            return new SpreadEvent.AnnouncementAcknowledged(
                                     announce.target().id(), announce.key(), wasKnown);
                         },
-                        new SpreadEvent.AnnounceFailed(announce.target().id(), announce.key()));
+                        new SpreadEvent.AnnouncementFailed(announce.target().id(), announce.key()));
             } else if (action instanceof SpreadAction.Pull pull) {
                 pulls++;
                 SpreadEvent failed = new SpreadEvent.PullFailed(pull.key());
@@ -164,25 +164,25 @@
                                 .<SpreadEvent>map(ticket -> new SpreadEvent.Pulled(peer.vm.id(), ticket))
                                 .orElse(failed),
                         failed);
-            } else if (action instanceof SpreadAction.AskRepair ask) {
+            } else if (action instanceof SpreadAction.RequestRepair ask) {
                 SpreadEvent.Summary summary = spread.summary(nowNanos);
                 ask(
                         ask.target(),
                         peer -> {
-                            SpreadEvent.RepairAnswered answer = new SpreadEvent.RepairAnswered(
+                            SpreadEvent.RepairReplied answer = new SpreadEvent.RepairReplied(
                                     peer.vm.id(),
                                     peer.spread.summary(nowNanos),
                                     BucketTree.groupDigests(peer.spread.bucketDigests()));
-                            peer.handle(new SpreadEvent.RepairAsked(vm.id(), summary));
+                            peer.handle(new SpreadEvent.RepairRequested(vm.id(), summary));
                             return answer;
                         },
                         new SpreadEvent.RepairFailed(ask.target().id()));
-            } else if (action instanceof SpreadAction.AskBuckets ask) {
+            } else if (action instanceof SpreadAction.RequestBuckets ask) {
                 ask(
                         ask.target(),
                         peer -> peer.buckets(ask.groups()),
                         new SpreadEvent.RepairFailed(ask.target().id()));
-            } else if (action instanceof SpreadAction.AskVersions ask) {
+            } else if (action instanceof SpreadAction.RequestVersions ask) {
                 ask(
                         ask.target(),
                         peer -> peer.versions(ask.buckets()),
@@ -196,19 +196,19 @@
             Map<Integer, Long> digests = new TreeMap<>();
             groups.forEach(group ->
                     BucketTree.bucketsOf(group).forEach(bucket -> digests.put(bucket, spread.bucketDigests()[bucket])));
-            return new SpreadEvent.BucketsAnswered(vm.id(), digests);
+            return new SpreadEvent.BucketsReceived(vm.id(), digests);
         }
 
         private SpreadEvent versions(List<Integer> buckets) {
             List<ObjectVersion> versions = new ArrayList<>();
             TicketExtracts.of(buckets, spread::versions)
                     .forEach(extract -> versions.addAll(TicketExtracts.versions(extract)));
-            return new SpreadEvent.VersionsAnswered(vm.id(), versions);
+            return new SpreadEvent.VersionsReceived(vm.id(), versions);
         }
 
         private void answerWatch(SpreadAction.ReadPlatform read, long untilNanos) {
             if (!reachesPlatform.test(vm.id())) {
-                after(TIMEOUT_MILLIS, () -> handle(new SpreadEvent.PlatformFailed()));
+                after(TIMEOUT_MILLIS, () -> handle(new SpreadEvent.PlatformReadFailed()));
                 return;
             }
             List<Ticket> visible = visible();
