--- a/bench/src/main/java/io/coppershelf/bench/slopes/RoleSlopes.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/RoleSlopes.java
@@ -56,8 +56,8 @@
     }
 
     private static TimelineBuffer timeline(int events) {
-        TimelineBuffer buffer =
-                new TimelineBuffer(new HybridLogicalClock(io.coppershelf.kernel.TimeSource.system()), "vm-17", events);
+        TimelineBuffer buffer = new TimelineBuffer(
+                new HybridLogicalClock(io.coppershelf.component.TimeSource.system()), "vm-17", events);
         for (int i = 0; i < events; i++) {
             buffer.record(Timeline.Event.of("health", "Server is suspected: oldest request is " + i + " ms old.")
                     .ofService("service-" + i)
--- a/bench/src/main/java/io/coppershelf/bench/tickets/LinkCuts.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/LinkCuts.java
@@ -1,8 +1,8 @@
 package io.coppershelf.bench.tickets;
 
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.ControlThread;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.ControlThread;
 import io.coppershelf.peer.LinkFilter;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/bench/src/test/java/io/coppershelf/bench/platform/HttpPlatformTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/platform/HttpPlatformTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.CoppershelfException;
 import io.coppershelf.outcome.ErrorKind;
--- a/coppershelf/src/main/java/io/coppershelf/admission/AdmissionComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AdmissionComponent.java
@@ -1,8 +1,8 @@
 package io.coppershelf.admission;
 
 import io.coppershelf.admission.internal.runtime.Admission;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
 import java.time.Duration;
 
 /** The part that serves server groups as their owner and forwards tries to other owners. */
--- a/coppershelf/src/main/java/io/coppershelf/admission/AttemptSender.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptSender.java
@@ -1,6 +1,6 @@
 package io.coppershelf.admission;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import io.coppershelf.membership.Vm;
 import java.util.concurrent.CompletableFuture;
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
@@ -2,7 +2,7 @@
 
 import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.peer.MessageFields;
 import io.coppershelf.peer.PeerMessageCodec;
 import java.io.IOException;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
@@ -1,7 +1,7 @@
 package io.coppershelf.admission.internal.runtime;
 
 import io.coppershelf.admission.AttemptSender;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.peer.PeerExchange;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedAttempt.java
@@ -3,7 +3,7 @@
 import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.AttemptSender;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.peer.PeerExchange;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
@@ -13,7 +13,7 @@
 import io.coppershelf.backend.BackendRequest;
 import io.coppershelf.backend.BackendResult;
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.ticket.ServerSpec;
 import io.coppershelf.ticket.ServiceSpec;
--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendClient.java
@@ -1,6 +1,6 @@
 package io.coppershelf.backend;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import io.coppershelf.ticket.ServerSpec;
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendComponent.java
@@ -2,9 +2,9 @@
 
 import io.coppershelf.backend.internal.HttpBackendClient;
 import io.coppershelf.backend.internal.HttpClientHolder;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.settings.Settings;
 import java.time.Duration;
 import java.util.concurrent.ExecutorService;
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
@@ -6,7 +6,7 @@
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.backend.HeaderRules;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.ErrorKind;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpBackendClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpBackendClient.java
@@ -3,7 +3,7 @@
 import io.coppershelf.backend.BackendClient;
 import io.coppershelf.backend.BackendRequest;
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.ticket.ServerSpec;
 import java.net.http.HttpResponse;
 import java.net.http.HttpResponse.BodyHandlers;
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClientHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClientHolder.java
@@ -1,7 +1,7 @@
 package io.coppershelf.backend.internal;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import java.net.http.HttpClient;
 import java.time.Duration;
 import java.util.concurrent.Executor;
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerHandler.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerHandler.java
@@ -4,7 +4,7 @@
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpHandler;
 import io.coppershelf.backend.HeaderRules;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.CoppershelfException;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.routing.InboundRequest;
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerServer.java
@@ -2,8 +2,8 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.sun.net.httpserver.HttpServer;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.outcome.CoppershelfException;
 import io.coppershelf.outcome.ErrorKind;
--- a/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
@@ -1,7 +1,7 @@
 package io.coppershelf.claim;
 
 import io.coppershelf.backend.BackendResult.Answer;
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.InboundRequest;
--- a/coppershelf/src/main/java/io/coppershelf/kernel/ComponentKey.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/ComponentKey.java
@@ -1,4 +1,4 @@
-package io.coppershelf.kernel;
+package io.coppershelf.component;
 
 /**
  * The name and type under which a service is registered.
--- a/coppershelf/src/main/java/io/coppershelf/kernel/ComponentRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/ComponentRegistry.java
@@ -1,4 +1,4 @@
-package io.coppershelf.kernel;
+package io.coppershelf.component;
 
 import io.coppershelf.outcome.CoppershelfException;
 import io.coppershelf.outcome.ErrorKind;
--- a/coppershelf/src/main/java/io/coppershelf/kernel/ControlThread.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/ControlThread.java
@@ -1,4 +1,4 @@
-package io.coppershelf.kernel;
+package io.coppershelf.component;
 
 import java.time.Duration;
 
--- a/coppershelf/src/main/java/io/coppershelf/kernel/TimeSource.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/TimeSource.java
@@ -1,4 +1,4 @@
-package io.coppershelf.kernel;
+package io.coppershelf.component;
 
 /** Where a process reads its time; decisions never do, they are handed the time of each event. */
 public interface TimeSource {
--- a/coppershelf/src/main/java/io/coppershelf/kernel/internal/ComponentManager.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/internal/ComponentManager.java
@@ -1,8 +1,8 @@
-package io.coppershelf.kernel.internal;
+package io.coppershelf.component.internal;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/coppershelf/src/main/java/io/coppershelf/kernel/internal/SingleControlThread.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/internal/SingleControlThread.java
@@ -1,7 +1,7 @@
-package io.coppershelf.kernel.internal;
+package io.coppershelf.component.internal;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.ControlThread;
+import io.coppershelf.component.ControlThread;
 import java.time.Duration;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.ThreadPoolExecutor;
--- a/coppershelf/src/main/java/io/coppershelf/daemon/Daemon.java
+++ b/coppershelf/src/main/java/io/coppershelf/daemon/Daemon.java
@@ -2,12 +2,12 @@
 
 import com.google.common.flogger.FluentLogger;
 import io.coppershelf.caller.CallerComponent;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.TimeSource;
-import io.coppershelf.kernel.internal.ComponentManager;
-import io.coppershelf.kernel.internal.SingleControlThread;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.ControlThread;
+import io.coppershelf.component.TimeSource;
+import io.coppershelf.component.internal.ComponentManager;
+import io.coppershelf.component.internal.SingleControlThread;
 import io.coppershelf.membership.LeaveNotice;
 import io.coppershelf.settings.Settings;
 import java.net.InetSocketAddress;
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
@@ -1,10 +1,10 @@
 package io.coppershelf.dispatch;
 
-import io.coppershelf.belief.HealthEstimate;
-import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.ServerList;
+import io.coppershelf.health.estimate.HealthEstimate;
+import io.coppershelf.health.estimate.HealthEstimates;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
--- a/coppershelf/src/main/java/io/coppershelf/floor/EjectionGrants.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/EjectionGrants.java
@@ -1,6 +1,6 @@
 package io.coppershelf.floor;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 
 /** Where the owner of a server group asks for the right to eject. Safe for use by several threads. */
 public interface EjectionGrants {
--- a/coppershelf/src/main/java/io/coppershelf/floor/FloorComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/FloorComponent.java
@@ -1,14 +1,14 @@
 package io.coppershelf.floor;
 
 import com.google.common.flogger.FluentLogger;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.ControlThread;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.floor.internal.FloorAction;
 import io.coppershelf.floor.internal.FloorCodecs;
 import io.coppershelf.floor.internal.FloorMessage;
 import io.coppershelf.floor.internal.FloorNode;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.operator.Timeline;
--- a/coppershelf/src/main/java/io/coppershelf/belief/HealthEstimates.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimates.java
@@ -1,4 +1,4 @@
-package io.coppershelf.belief;
+package io.coppershelf.health.estimate;
 
 import java.util.Map;
 import java.util.Set;
--- a/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
@@ -1,6 +1,6 @@
 package io.coppershelf.membership;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import java.util.List;
 import java.util.Optional;
 
--- a/coppershelf/src/main/java/io/coppershelf/membership/LeaveNotice.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/LeaveNotice.java
@@ -1,6 +1,6 @@
 package io.coppershelf.membership;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 
 /** Tells the peers that this VM leaves; the daemon calls it first of all at a planned stop. */
 public interface LeaveNotice {
--- a/coppershelf/src/main/java/io/coppershelf/membership/MembershipComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/MembershipComponent.java
@@ -1,10 +1,10 @@
 package io.coppershelf.membership;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.ControlThread;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.internal.FleetSnapshot;
 import io.coppershelf.membership.internal.FleetSource;
 import io.coppershelf.membership.internal.MembershipDriver;
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/VmListReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/VmListReader.java
@@ -1,7 +1,7 @@
 package io.coppershelf.membership.internal;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.ControlThread;
+import io.coppershelf.component.ControlThread;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.platform.Platform;
 import io.coppershelf.platform.Platform.PublishedVms;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetObservations.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetObservations.java
@@ -1,12 +1,12 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.HealthEstimate;
-import io.coppershelf.belief.HealthEstimates;
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.ServerList;
 import io.coppershelf.dispatch.FleetLoad;
 import io.coppershelf.dispatch.IdleServerTracker;
+import io.coppershelf.health.estimate.HealthEstimate;
+import io.coppershelf.health.estimate.HealthEstimates;
+import io.coppershelf.health.estimate.Observation;
 import java.util.Set;
 import java.util.stream.Collectors;
 
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
@@ -1,6 +1,5 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.CatalogChange;
@@ -10,6 +9,7 @@
 import io.coppershelf.catalog.ServerList;
 import io.coppershelf.eventlog.EventLog;
 import io.coppershelf.eventlog.Fields;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.proxy.ControlState;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
@@ -1,7 +1,7 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.peer.MessageFields;
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
@@ -1,9 +1,9 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.CatalogChange;
 import io.coppershelf.catalog.ServerList;
+import io.coppershelf.health.estimate.Observation;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/StateChangeLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/StateChangeLog.java
@@ -1,12 +1,12 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.HealthEstimate;
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.ServerList;
 import io.coppershelf.eventlog.EventLog;
 import io.coppershelf.eventlog.Fields;
+import io.coppershelf.health.estimate.HealthEstimate;
+import io.coppershelf.health.estimate.Observation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
--- a/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
@@ -1,6 +1,6 @@
 package io.coppershelf.operator;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 
 /**
  * A hybrid logical clock: its stamps order events over all processes as cause before effect, and stay close to wall
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorComponent.java
@@ -1,9 +1,9 @@
 package io.coppershelf.operator;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.operator.internal.DefaultOperatorRegistry;
 import io.coppershelf.operator.internal.FleetStatus;
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorRegistry.java
@@ -1,6 +1,6 @@
 package io.coppershelf.operator;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.BooleanSupplier;
 
--- a/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
@@ -1,6 +1,6 @@
 package io.coppershelf.operator;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import java.util.Optional;
 
 /** Takes the events of this process for the time line over all processes. Safe for use by several threads. */
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/HybridLogicalClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/HybridLogicalClock.java
@@ -1,6 +1,6 @@
 package io.coppershelf.operator.internal;
 
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.operator.HybridClock;
 import java.time.Duration;
 import java.util.concurrent.atomic.AtomicLong;
--- a/coppershelf/src/main/java/io/coppershelf/peer/LinkFilter.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/LinkFilter.java
@@ -1,6 +1,6 @@
 package io.coppershelf.peer;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 
 /**
  * Asked before each message is sent and when one is received; tests cut links with it, in one direction if they like.
--- a/coppershelf/src/main/java/io/coppershelf/peer/PeerComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/PeerComponent.java
@@ -1,8 +1,8 @@
 package io.coppershelf.peer;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.operator.HybridClock;
 import io.coppershelf.operator.OperatorRegistry;
--- a/coppershelf/src/main/java/io/coppershelf/platform/Platform.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/Platform.java
@@ -1,6 +1,6 @@
 package io.coppershelf.platform;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import io.coppershelf.membership.Vm;
 import java.time.Duration;
 import java.util.List;
--- a/coppershelf/src/main/java/io/coppershelf/platform/PlatformComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/PlatformComponent.java
@@ -1,8 +1,8 @@
 package io.coppershelf.platform;
 
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.platform.internal.HttpPlatform;
 import io.coppershelf.settings.Settings;
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/HttpPlatform.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/HttpPlatform.java
@@ -2,7 +2,7 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.google.common.util.concurrent.ThreadFactoryBuilder;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.CoppershelfException;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.platform.Platform;
--- a/coppershelf/src/main/java/io/coppershelf/proxy/ControlState.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/ControlState.java
@@ -1,8 +1,8 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.Catalog;
+import io.coppershelf.health.estimate.Observation;
 
 /** What the traffic path is told by the control state, and tells it. Every method may be called by any thread. */
 public interface ControlState {
--- a/coppershelf/src/main/java/io/coppershelf/proxy/ServerAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/ServerAttempt.java
@@ -1,10 +1,10 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.dispatch.ChoiceInputs;
 import io.coppershelf.dispatch.ServerStats;
 import io.coppershelf.eventlog.Fields;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.http.AnswerListener;
 import io.coppershelf.http.HttpAnswer;
 import io.coppershelf.http.HttpConnection;
--- a/coppershelf/src/main/java/io/coppershelf/proxy/TrafficServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/TrafficServer.java
@@ -1,6 +1,5 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.catalog.CallerLimits;
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.FleetConfiguration;
@@ -10,6 +9,7 @@
 import io.coppershelf.dispatch.ServerChooser;
 import io.coppershelf.dispatch.WeightedRoundRobin;
 import io.coppershelf.eventlog.EventLog;
+import io.coppershelf.health.estimate.HealthEstimates;
 import io.coppershelf.http.HttpConnector;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/coppershelf/src/main/java/io/coppershelf/routing/RequestPipeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/RequestPipeline.java
@@ -1,6 +1,6 @@
 package io.coppershelf.routing;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import java.util.concurrent.CompletableFuture;
 
 /** Serves whole requests of callers. Safe for use by several threads. */
--- a/coppershelf/src/main/java/io/coppershelf/routing/RoutingComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/RoutingComponent.java
@@ -1,7 +1,7 @@
 package io.coppershelf.routing;
 
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
 import io.coppershelf.routing.internal.Routing;
 import java.time.Duration;
 
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
@@ -5,7 +5,7 @@
 import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.OwnerLookup;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.routing.InboundRequest;
--- a/coppershelf/src/main/java/io/coppershelf/settings/Settings.java
+++ b/coppershelf/src/main/java/io/coppershelf/settings/Settings.java
@@ -1,6 +1,6 @@
 package io.coppershelf.settings;
 
-import io.coppershelf.kernel.ComponentKey;
+import io.coppershelf.component.ComponentKey;
 import java.net.URI;
 import java.util.List;
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/TicketComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/TicketComponent.java
@@ -1,9 +1,9 @@
 package io.coppershelf.ticket;
 
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
-import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
+import io.coppershelf.component.ControlThread;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.operator.Timeline;
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadDriver.java
@@ -1,8 +1,8 @@
 package io.coppershelf.ticket.internal.spread;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.ControlThread;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.operator.Timeline;
--- a/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
@@ -6,7 +6,7 @@
 import io.coppershelf.backend.BackendRequest;
 import io.coppershelf.backend.BackendResult;
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.FakeBackendServer.Received;
--- a/coppershelf/src/test/java/io/coppershelf/kernel/internal/ComponentManagerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/component/internal/ComponentManagerTest.java
@@ -1,10 +1,10 @@
-package io.coppershelf.kernel.internal;
+package io.coppershelf.component.internal;
 
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
--- a/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
@@ -6,7 +6,7 @@
 import io.coppershelf.admission.AdmissionComponent;
 import io.coppershelf.backend.BackendComponent;
 import io.coppershelf.caller.CallerComponent;
-import io.coppershelf.kernel.Component;
+import io.coppershelf.component.Component;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.RoutingComponent;
 import io.coppershelf.settings.Settings;
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
@@ -2,10 +2,10 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.belief.HealthEstimates;
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.RequestKind;
+import io.coppershelf.health.estimate.HealthEstimates;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.testing.Catalogs;
 import java.util.List;
 import java.util.Optional;
--- a/coppershelf/src/test/java/io/coppershelf/belief/HealthEstimateTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/health/estimate/HealthEstimateTest.java
@@ -1,4 +1,4 @@
-package io.coppershelf.belief;
+package io.coppershelf.health.estimate;
 
 import static com.google.common.truth.Truth.assertThat;
 
--- a/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.coppershelf.belief.Observation;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.testing.Catalogs;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/coppershelf/src/test/java/io/coppershelf/operator/OperatorComponentTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/operator/OperatorComponentTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import io.coppershelf.kernel.ComponentRegistry;
+import io.coppershelf.component.ComponentRegistry;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.CoppershelfException;
--- a/coppershelf/src/test/java/io/coppershelf/operator/internal/HybridLogicalClockTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/operator/internal/HybridLogicalClockTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.operator.HybridClock;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
--- a/coppershelf/src/test/java/io/coppershelf/operator/internal/TimelineBufferTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/operator/internal/TimelineBufferTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.operator.StampedEvent;
 import io.coppershelf.operator.Timeline.Event;
 import io.coppershelf.operator.TimelineDocument;
--- a/coppershelf/src/test/java/io/coppershelf/proxy/FakeControlState.java
+++ b/coppershelf/src/test/java/io/coppershelf/proxy/FakeControlState.java
@@ -1,8 +1,8 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.Catalog;
+import io.coppershelf.health.estimate.Observation;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
--- a/coppershelf/src/test/java/io/coppershelf/proxy/ProxyFixture.java
+++ b/coppershelf/src/test/java/io/coppershelf/proxy/ProxyFixture.java
@@ -1,6 +1,5 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.CallerLimits;
 import io.coppershelf.catalog.Catalog;
@@ -14,6 +13,7 @@
 import io.coppershelf.dispatch.FleetRetryBudget;
 import io.coppershelf.dispatch.IdleServerTracker;
 import io.coppershelf.eventlog.EventLog;
+import io.coppershelf.health.estimate.HealthEstimates;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.FreePorts;
 import io.coppershelf.testing.RawCaller;
--- a/coppershelf/src/test/java/io/coppershelf/proxy/TrafficServerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/proxy/TrafficServerTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.belief.Observation;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.RawCaller;
 import java.io.IOException;
--- a/coppershelf/src/test/java/io/coppershelf/testing/FakeComponents.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/FakeComponents.java
@@ -2,9 +2,9 @@
 
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.claim.Claims;
+import io.coppershelf.component.Component;
+import io.coppershelf.component.ComponentRegistry;
 import io.coppershelf.floor.EjectionGrants;
-import io.coppershelf.kernel.Component;
-import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.operator.OperatorRegistry;
