--- a/bench/src/main/java/io/coppershelf/bench/backend/ActiveFault.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/ActiveFault.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns whether answers to the try are lost. */
-    boolean isCutFrom(String tryId) {
-        return fault == ServerFault.CUT_OUT && tryId.startsWith(argument);
+    boolean isCutFrom(String attemptId) {
+        return fault == ServerFault.CUT_OUT && attemptId.startsWith(argument);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/backend/BackendServerStandIn.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/BackendServerStandIn.java
@@ -90,7 +90,7 @@
                 waiting.remove(work);
             }
             answers.refuse(work, 503, stateHeader());
-            taken.remove(work.tryId());
+            taken.remove(work.attemptId());
             return "not-started";
         }
         return switch (work.state()) {
@@ -103,10 +103,10 @@
     private void take(HttpExchange exchange) throws IOException {
         log.receive(spec.name());
         exchange.getRequestBody().readAllBytes();
-        String tryId = header(exchange, BackendHeaders.TRY_ID);
+        String attemptId = header(exchange, BackendHeaders.TRY_ID);
         String deadline = header(exchange, BackendHeaders.DEADLINE_MS);
         long millis = deadline.isEmpty() ? TimeUnit.MINUTES.toMillis(1) : Long.parseLong(deadline);
-        Work work = new Work(exchange, tryId, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis));
+        Work work = new Work(exchange, attemptId, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis));
         if (isFault(ServerFault.SHED) || isFault(ServerFault.DRAIN) || !enqueue(work)) {
             work.advance(Work.State.WAITING, Work.State.CANCELLED);
             answers.refuse(work, 503, isFault(ServerFault.DRAIN) ? "draining" : "shedding");
@@ -119,7 +119,7 @@
         if (running + waiting.size() >= spec.slots() * (1 + QUEUE_PER_SLOT)) {
             return false;
         }
-        taken.put(work.tryId(), work);
+        taken.put(work.attemptId(), work);
         waiting.add(work);
         return true;
     }
@@ -182,7 +182,7 @@
 
     private synchronized void release(Work work) {
         running--;
-        taken.remove(work.tryId());
+        taken.remove(work.attemptId());
     }
 
     private boolean isFault(ServerFault candidate) {
--- a/bench/src/main/java/io/coppershelf/bench/backend/Work.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/Work.java
@@ -14,13 +14,13 @@
     }
 
     private final HttpExchange exchange;
-    private final String tryId;
+    private final String attemptId;
     private final AtomicReference<State> state = new AtomicReference<>(State.WAITING);
     private final long deadlineNanos;
 
-    Work(HttpExchange exchange, String tryId, long deadlineNanos) {
+    Work(HttpExchange exchange, String attemptId, long deadlineNanos) {
         this.exchange = exchange;
-        this.tryId = tryId;
+        this.attemptId = attemptId;
         this.deadlineNanos = deadlineNanos;
     }
 
@@ -28,8 +28,8 @@
         return exchange;
     }
 
-    String tryId() {
-        return tryId;
+    String attemptId() {
+        return attemptId;
     }
 
     long deadlineNanos() {
--- a/bench/src/main/java/io/coppershelf/bench/backend/WorkAnswers.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/WorkAnswers.java
@@ -17,7 +17,7 @@
         Headers headers = work.exchange().getResponseHeaders();
         headers.set(BackendHeaders.EXECUTION, "not-started");
         headers.set(BackendHeaders.SERVER_STATE, state);
-        headers.set(BackendHeaders.TRY_ID, work.tryId());
+        headers.set(BackendHeaders.TRY_ID, work.attemptId());
         sendQuietly(work.exchange(), status, new byte[0], 0);
     }
 
@@ -26,13 +26,15 @@
         HttpExchange exchange = work.exchange();
         Optional<ServerFault> kind = fault.map(ActiveFault::fault);
         if (kind.equals(Optional.of(ServerFault.DIE_AFTER_RUN))
-                || fault.map(active -> active.isCutFrom(work.tryId())).orElse(false)) {
+                || fault.map(active -> active.isCutFrom(work.attemptId())).orElse(false)) {
             exchange.close();
             return;
         }
         exchange.getResponseHeaders().set(BackendHeaders.SERVER_STATE, state);
         exchange.getResponseHeaders()
-                .set(BackendHeaders.TRY_ID, kind.equals(Optional.of(ServerFault.FOREIGN)) ? "foreign" : work.tryId());
+                .set(
+                        BackendHeaders.TRY_ID,
+                        kind.equals(Optional.of(ServerFault.FOREIGN)) ? "foreign" : work.attemptId());
         String path = exchange.getRequestURI().getPath();
         boolean failing = fault.map(active -> active.isFailing(path)).orElse(false);
         byte[] body = kind.equals(Optional.of(ServerFault.OVERSIZE)) ? new byte[OVERSIZE_BYTES] : body(work);
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Attempt.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Attempt.java
@@ -3,7 +3,7 @@
 /**
  * One try of a request.
  *
- * @param tryId its id
+ * @param attemptId its id
  * @param request the request
  */
-record Attempt(String tryId, BenchRequest request) {}
+record Attempt(String attemptId, BenchRequest request) {}
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
@@ -58,14 +58,14 @@
     private void run(Attempt attempt, Consumer<Answer> reply) {
         attempt.request().recordRun();
         Run run = new Run(reply);
-        running.put(attempt.tryId(), run);
+        running.put(attempt.attemptId(), run);
         long work = attempt.request().kind().drawNanos(random);
         OptionalLong end = plan.speed(name).finish(time.now(), work);
         end.ifPresent(nanos -> time.at(nanos, () -> finish(attempt, run)));
     }
 
     private void finish(Attempt attempt, Run run) {
-        if (!running.remove(attempt.tryId(), run)) {
+        if (!running.remove(attempt.attemptId(), run)) {
             return;
         }
         boolean error =
@@ -80,9 +80,9 @@
     }
 
     /** Cancels a try that has started; a stalled server does not react. */
-    void cancel(String tryId) {
+    void cancel(String attemptId) {
         if (plan.speed(name).speedAt(time.now()) > 0) {
-            running.remove(tryId);
+            running.remove(attemptId);
         }
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
@@ -31,7 +31,7 @@
     private final long endNanos;
     private final Map<String, SpeedTimeline> speeds = new HashMap<>();
     private final Set<String> targets = new HashSet<>();
-    private final List<FaultPlan.UnhealthySpan> sickSpans = new ArrayList<>();
+    private final List<UnhealthySpan> sickSpans = new ArrayList<>();
 
     /**
      * A span in which a server is sick.
@@ -98,7 +98,7 @@
 
     private void sick(String server, long from, long until) {
         targets.add(server);
-        sickSpans.add(new FaultPlan.UnhealthySpan(server, from, Math.min(until, endNanos)));
+        sickSpans.add(new UnhealthySpan(server, from, Math.min(until, endNanos)));
     }
 
     /** Returns the fault. */
@@ -112,7 +112,7 @@
     }
 
     /** Returns the spans in which servers are sick. */
-    List<FaultPlan.UnhealthySpan> unhealthySpans() {
+    List<UnhealthySpan> unhealthySpans() {
         return sickSpans;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
@@ -5,14 +5,20 @@
 import io.coppershelf.admission.GroupAction.ConditionChanged;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Probe;
+import io.coppershelf.admission.GroupAction.QueryReachability;
 import io.coppershelf.admission.GroupAction.Refuse;
 import io.coppershelf.admission.GroupAction.ReleaseEjection;
+import io.coppershelf.admission.GroupAction.RequestEjection;
+import io.coppershelf.admission.GroupAction.ShareServiceTimes;
 import io.coppershelf.admission.GroupEvent;
+import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.EjectionRefused;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
+import io.coppershelf.admission.GroupEvent.ReachabilityReported;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
+import io.coppershelf.admission.GroupEvent.ServiceTimesReceived;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.admission.ServerGroupDecisions;
@@ -70,9 +76,9 @@
     /** Takes a try of an entry VM. */
     void accept(Attempt attempt) {
         KindProfile kind = attempt.request().kind();
-        open.put(attempt.tryId(), attempt);
+        open.put(attempt.attemptId(), attempt);
         deliver(new RequestArrived(
-                attempt.tryId(),
+                attempt.attemptId(),
                 kind.name(),
                 kind.idempotent(),
                 kind.weight(),
@@ -95,29 +101,29 @@
         if (action instanceof Dispatch dispatch) {
             dispatch(dispatch);
         } else if (action instanceof Refuse refuse) {
-            reply(refuse.tryId(), Reply.notRun());
+            reply(refuse.attemptId(), Reply.notRun());
         } else if (action instanceof CancelOnServer cancel) {
             cancel(cancel);
-        } else if (action instanceof GroupAction.RequestEjection ask) {
+        } else if (action instanceof RequestEjection ask) {
             world.time().after(TO_GRANTER, () -> askFloor(ask.server()));
         } else if (action instanceof ReleaseEjection release) {
             world.floor().release(release.server());
         } else if (action instanceof Probe probe) {
             probe(probe.server());
-        } else if (action instanceof GroupAction.QueryReachability ask) {
-            world.time().after(TO_GRANTER, () -> deliver(new GroupEvent.ReachabilityReported(ask.server(), true)));
-        } else if (action instanceof GroupAction.ShareServiceTimes share) {
-            world.shareBaseline(index, new GroupEvent.ServiceTimesReceived("host-" + index, share.usualNanos()));
+        } else if (action instanceof QueryReachability ask) {
+            world.time().after(TO_GRANTER, () -> deliver(new ReachabilityReported(ask.server(), true)));
+        } else if (action instanceof ShareServiceTimes share) {
+            world.shareBaseline(index, new ServiceTimesReceived("host-" + index, share.typicalNanos()));
         } else if (action instanceof ConditionChanged changed) {
             world.conditionChanged(changed);
         }
     }
 
     private void dispatch(Dispatch dispatch) {
-        Attempt attempt = open.get(dispatch.tryId());
+        Attempt attempt = open.get(dispatch.attemptId());
         long now = world.time().now();
         world.recorder().recordDispatch(dispatch.server(), condition(dispatch.server()), now);
-        serverByTry.put(attempt.tryId(), dispatch.server());
+        serverByTry.put(attempt.attemptId(), dispatch.server());
         FakeServer server = world.server(dispatch.server());
         world.time().after(TO_SERVER, () -> server.start(attempt, answer -> answered(dispatch, answer)));
         world.time().at(attempt.request().deadlineNanos(), () -> giveUp(dispatch));
@@ -133,40 +139,40 @@
 
     private void answered(Dispatch dispatch, Answer answer) {
         if (!world.plan().isCut(dispatch.server(), world.time().now())) {
-            world.time().after(TO_SERVER, () -> end(dispatch.tryId(), answer));
+            world.time().after(TO_SERVER, () -> end(dispatch.attemptId(), answer));
         }
     }
 
     private void giveUp(Dispatch dispatch) {
-        if (open.containsKey(dispatch.tryId())) {
-            world.server(dispatch.server()).cancel(dispatch.tryId());
-            end(dispatch.tryId(), unknown());
+        if (open.containsKey(dispatch.attemptId())) {
+            world.server(dispatch.server()).cancel(dispatch.attemptId());
+            end(dispatch.attemptId(), unknown());
         }
     }
 
     private void cancel(CancelOnServer cancel) {
-        world.time().after(TO_SERVER, () -> world.server(cancel.server()).cancel(cancel.tryId()));
-        world.time().after(CANCEL_LIMIT, () -> end(cancel.tryId(), unknown()));
+        world.time().after(TO_SERVER, () -> world.server(cancel.server()).cancel(cancel.attemptId()));
+        world.time().after(CANCEL_LIMIT, () -> end(cancel.attemptId(), unknown()));
     }
 
     private static Answer unknown() {
         return new Answer(Optional.empty(), Optional.of(ErrorKind.DEADLINE_PASSED), ServerState.UNSTATED);
     }
 
-    private void end(String tryId, Answer answer) {
+    private void end(String attemptId, Answer answer) {
         Optional<Long> paused = pausedUntil();
         if (paused.isPresent()) {
-            world.time().at(paused.get(), () -> end(tryId, answer));
+            world.time().at(paused.get(), () -> end(attemptId, answer));
             return;
         }
-        if (!open.containsKey(tryId) || serverByTry.remove(tryId) == null) {
+        if (!open.containsKey(attemptId) || serverByTry.remove(attemptId) == null) {
             return;
         }
         answer.error()
                 .filter(error -> error == ErrorKind.SERVER_REFUSED)
                 .ifPresent(error -> world.recorder().recordShed());
-        deliver(new GroupEvent.AttemptEnded(tryId, answer.status(), answer.error(), answer.state()));
-        reply(tryId, replyTo(answer));
+        deliver(new AttemptEnded(attemptId, answer.status(), answer.error(), answer.state()));
+        reply(attemptId, replyTo(answer));
     }
 
     private static Reply replyTo(Answer answer) {
@@ -177,8 +183,8 @@
         return notRun ? Reply.notRun() : Reply.unknown();
     }
 
-    private void reply(String tryId, Reply reply) {
-        Attempt attempt = open.remove(tryId);
+    private void reply(String attemptId, Reply reply) {
+        Attempt attempt = open.remove(attemptId);
         GroupStatus status = decisions.status(world.time().now());
         world.reply(index, attempt, reply, status);
     }
@@ -200,7 +206,7 @@
     }
 
     /** Takes in the usual times of another host. */
-    void receiveServiceTimes(GroupEvent.ServiceTimesReceived heard) {
+    void receiveServiceTimes(ServiceTimesReceived heard) {
         deliver(heard);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/RunRecorder.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/RunRecorder.java
@@ -1,5 +1,6 @@
 package io.coppershelf.bench.decisions;
 
+import io.coppershelf.bench.decisions.FaultPlan.UnhealthySpan;
 import io.coppershelf.health.ServerCondition;
 import io.coppershelf.ticket.ServerSpec;
 import java.util.ArrayList;
@@ -18,7 +19,7 @@
     private final RunSpec spec;
     private final FaultPlan plan;
     private final RunResult result = new RunResult();
-    private final Map<FaultPlan.UnhealthySpan, Long> lastDispatch = new HashMap<>();
+    private final Map<UnhealthySpan, Long> lastDispatch = new HashMap<>();
     private final Map<String, Double> offeredWork = new HashMap<>();
     private final Set<String> ejected = new HashSet<>();
     private final Set<String> otherwiseOut = new HashSet<>();
@@ -48,7 +49,7 @@
         if (condition == ServerCondition.PROBATION) {
             return;
         }
-        for (FaultPlan.UnhealthySpan span : plan.unhealthySpans()) {
+        for (UnhealthySpan span : plan.unhealthySpans()) {
             if (span.server().equals(server) && nowNanos >= span.fromNanos() && nowNanos < span.untilNanos()) {
                 lastDispatch.put(span, nowNanos);
             }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/ServiceSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/ServiceSimulation.java
@@ -1,7 +1,7 @@
 package io.coppershelf.bench.decisions;
 
 import io.coppershelf.admission.GroupAction.ConditionChanged;
-import io.coppershelf.admission.GroupEvent;
+import io.coppershelf.admission.GroupEvent.ServiceTimesReceived;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.bench.decisions.RunSpec.Stream;
@@ -101,7 +101,7 @@
     }
 
     /** Tells the usual times of one host to the others. */
-    void shareBaseline(int sender, GroupEvent.ServiceTimesReceived heard) {
+    void shareBaseline(int sender, ServiceTimesReceived heard) {
         for (int index = 0; index < hosts.size(); index++) {
             GroupHost host = hosts.get(index);
             if (index != sender) {
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
@@ -6,6 +6,7 @@
 import io.coppershelf.admission.GroupAction.Probe;
 import io.coppershelf.admission.GroupAction.Refuse;
 import io.coppershelf.admission.GroupEvent;
+import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
@@ -67,7 +68,7 @@
             configured.servers().forEach(server -> servers.put(server.name(), server));
         } else if (event instanceof RequestArrived request) {
             queue.add(request);
-        } else if (event instanceof GroupEvent.AttemptEnded ended) {
+        } else if (event instanceof AttemptEnded ended) {
             end(ended, nowNanos);
         } else if (event instanceof ProbeEnded probe) {
             detector.probed(probe.server(), probe.state().isPresent());
@@ -79,8 +80,8 @@
         return actions;
     }
 
-    private void end(GroupEvent.AttemptEnded ended, long nowNanos) {
-        String server = serverByTry.remove(ended.tryId());
+    private void end(AttemptEnded ended, long nowNanos) {
+        String server = serverByTry.remove(ended.attemptId());
         if (server == null) {
             return;
         }
@@ -131,13 +132,13 @@
             }
             queue.remove();
             if (late) {
-                actions.add(new Refuse(first.tryId(), ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
+                actions.add(new Refuse(first.attemptId(), ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
                 continue;
             }
             String server = picker.pick(candidates, inFlight).name();
-            serverByTry.put(first.tryId(), server);
+            serverByTry.put(first.attemptId(), server);
             inFlight.merge(server, 1, Integer::sum);
-            actions.add(new Dispatch(first.tryId(), server));
+            actions.add(new Dispatch(first.attemptId(), server));
         }
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/fleet/EjectionLog.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/EjectionLog.java
@@ -43,7 +43,7 @@
             events.addAll(events(http, operator));
         }
         return new EjectionLog(events.stream()
-                .filter(event -> event.event().part().equals("health"))
+                .filter(event -> event.event().component().equals("health"))
                 .sorted()
                 .toList());
     }
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
@@ -21,7 +21,7 @@
     private final Optional<Duration> workEnded;
     private final boolean sick;
     private final Optional<Duration> suspected;
-    private final FleetRow.Reports truths;
+    private final Reports truths;
     private final EjectionLog ejections;
     private final String target;
     private final Duration observed;
@@ -35,7 +35,7 @@
             Optional<Duration> workEnded,
             boolean sick,
             Optional<Duration> suspected,
-            FleetRow.Reports truths,
+            Reports truths,
             EjectionLog ejections,
             String target,
             Duration observed,
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EjectionSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EjectionSimulation.java
@@ -1,7 +1,7 @@
 package io.coppershelf.bench.matrix;
 
 import io.coppershelf.floor.internal.FloorAction;
-import io.coppershelf.floor.internal.FloorMessage;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
 import io.coppershelf.floor.internal.FloorNode;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.membership.internal.FleetSnapshot;
@@ -120,7 +120,7 @@
 
     /** Strikes the VM that is asked for a right. */
     private void strikeAt(FloorAction.Send send) {
-        if (!armed || !(send.message() instanceof FloorMessage.GrantRequest)) {
+        if (!armed || !(send.message() instanceof GrantRequest)) {
             return;
         }
         armed = false;
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EntryAttempt.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EntryAttempt.java
@@ -2,7 +2,7 @@
 
 import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.claim.Claims;
+import io.coppershelf.claim.Claims.ClaimResult;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimCompletion;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimRequest;
 import io.coppershelf.claim.internal.ClaimRound;
@@ -100,11 +100,11 @@
         return true;
     }
 
-    private void onClaim(Optional<Claims.ClaimResult> verdict) {
+    private void onClaim(Optional<ClaimResult> verdict) {
         if (verdict.isEmpty()) {
             return;
         }
-        if (verdict.get() instanceof Claims.ClaimResult.Claimed) {
+        if (verdict.get() instanceof ClaimResult.Claimed) {
             world.onStep(Step.CLAIMED);
             network.after(vm, DEADLINE.minus(GIVE_UP_BEFORE), () -> handle(new RequestEvent.SendCutoffReached()));
             network.after(vm, DEADLINE, () -> handle(new RequestEvent.DeadlinePassed()));
@@ -112,9 +112,9 @@
             return;
         }
         tell(
-                verdict.get() instanceof Claims.ClaimResult.Answered answered
+                verdict.get() instanceof ClaimResult.Answered answered
                         ? RequestResult.answered(answered.answer())
-                        : RequestResult.failed(((Claims.ClaimResult.Rejected) verdict.get()).error()));
+                        : RequestResult.failed(((ClaimResult.Rejected) verdict.get()).error()));
         complete(ClaimStatus.NOT_RUN, Optional.empty());
     }
 
@@ -127,7 +127,7 @@
             sendTry(send);
         } else if (action instanceof RequestAction.CancelAttempt cancel) {
             RequestSimulation.OWNERS.forEach(owner ->
-                    network.send(vm, owner, () -> world.owner(owner).cancel(tryId(cancel.number()))));
+                    network.send(vm, owner, () -> world.owner(owner).cancel(attemptId(cancel.number()))));
         } else if (action instanceof RequestAction.AnswerCaller answer) {
             tell(answer.result());
         } else if (action instanceof RequestAction.RecordOutcome settle) {
@@ -149,7 +149,9 @@
                 owner,
                 () -> world.owner(owner)
                         .receive(
-                                tryId(number), DEADLINE, result -> network.send(owner, vm, () -> end(number, result))));
+                                attemptId(number),
+                                DEADLINE,
+                                result -> network.send(owner, vm, () -> end(number, result))));
         network.after(vm, LOSS_NOTICED_AFTER, () -> {
             if (!network.isUp(owner) || network.incarnation(owner) != life) {
                 end(number, AttemptResult.failed(ErrorKind.OWNER_LOST));
@@ -159,7 +161,7 @@
         world.onStep(Step.FORWARDED);
     }
 
-    private String tryId(int number) {
+    private String attemptId(int number) {
         return id + "/" + number;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/matrix/FakeServer.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/FakeServer.java
@@ -47,26 +47,26 @@
     }
 
     /** Takes a try; the result goes to the given receiver on the server's side. */
-    void receive(String tryId, Consumer<Result> result) {
-        received.add(tryId);
-        unstarted.put(tryId, result);
+    void receive(String attemptId, Consumer<Result> result) {
+        received.add(attemptId);
+        unstarted.put(attemptId, result);
         if (is(Fault.SERVER_STALLED)) {
             return;
         }
-        unstarted.remove(tryId);
+        unstarted.remove(attemptId);
         reached.accept(Step.RUNNING);
-        network.after(name, RUN_TIME, () -> run(tryId, result));
+        network.after(name, RUN_TIME, () -> run(attemptId, result));
     }
 
     /** Cancels a try; returns whether the server gives its word that it had not started it. */
-    boolean cancel(String tryId) {
-        return unstarted.remove(tryId) != null;
+    boolean cancel(String attemptId) {
+        return unstarted.remove(attemptId) != null;
     }
 
-    private void run(String tryId, Consumer<Result> result) {
-        executed.add(tryId);
+    private void run(String attemptId, Consumer<Result> result) {
+        executed.add(attemptId);
         reached.accept(Step.ANSWERING);
-        Result whole = new Result(Optional.of(bodyOf(tryId)), Optional.empty());
+        Result whole = new Result(Optional.of(bodyOf(attemptId)), Optional.empty());
         if (is(Fault.SERVER_DIES_AFTER_RUN)) {
             result.accept(failed(ErrorKind.SERVER_LOST));
         } else if (is(Fault.ANSWER_TRUNCATED)) {
@@ -83,8 +83,8 @@
         }
     }
 
-    static String bodyOf(String tryId) {
-        return "answer to " + tryId.substring(0, tryId.indexOf('/'));
+    static String bodyOf(String attemptId) {
+        return "answer to " + attemptId.substring(0, attemptId.indexOf('/'));
     }
 
     private static Result failed(ErrorKind error) {
--- a/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
@@ -61,18 +61,18 @@
     }
 
     /** Takes a forwarded try; its result goes to the given receiver on this VM's side. */
-    void receive(String tryId, Duration remaining, Consumer<AttemptResult> reply) {
+    void receive(String attemptId, Duration remaining, Consumer<AttemptResult> reply) {
         if (stopping) {
             reply.accept(AttemptResult.failed(ErrorKind.STOPPING));
             return;
         }
-        open.put(tryId, reply);
+        open.put(attemptId, reply);
         long deadline = network.nowNanos() + remaining.toNanos();
-        handle(new GroupEvent.RequestArrived(tryId, SERVICE + "/release", false, 5, deadline, false));
+        handle(new GroupEvent.RequestArrived(attemptId, SERVICE + "/release", false, 5, deadline, false));
     }
 
-    void cancel(String tryId) {
-        handle(new GroupEvent.RequestCancelled(tryId));
+    void cancel(String attemptId) {
+        handle(new GroupEvent.RequestCancelled(attemptId));
     }
 
     private void tick() {
@@ -95,47 +95,47 @@
 
     private void perform(GroupAction action) {
         if (action instanceof GroupAction.Dispatch dispatch) {
-            dispatch(dispatch.tryId(), servers.get(dispatch.server()));
+            dispatch(dispatch.attemptId(), servers.get(dispatch.server()));
         } else if (action instanceof GroupAction.Refuse refuse) {
-            reply(refuse.tryId(), AttemptResult.refused(refuse.error(), refuse.retryAfter()));
+            reply(refuse.attemptId(), AttemptResult.refused(refuse.error(), refuse.retryAfter()));
         } else if (action instanceof GroupAction.CancelOnServer cancel) {
-            cancelOnServer(cancel.tryId(), servers.get(cancel.server()));
+            cancelOnServer(cancel.attemptId(), servers.get(cancel.server()));
         } else if (action instanceof GroupAction.RequestEjection ask) {
             handle(new GroupEvent.EjectionRefused(ask.server()));
         }
     }
 
-    private void dispatch(String tryId, FakeServer server) {
+    private void dispatch(String attemptId, FakeServer server) {
         reached.accept(Step.SENT);
-        network.send(id, server.name(), () -> server.receive(tryId, result -> back(tryId, server, result)));
+        network.send(id, server.name(), () -> server.receive(attemptId, result -> back(attemptId, server, result)));
     }
 
-    private void back(String tryId, FakeServer server, FakeServer.Result result) {
-        network.send(server.name(), id, () -> end(tryId, result.body(), result.error()));
+    private void back(String attemptId, FakeServer server, FakeServer.Result result) {
+        network.send(server.name(), id, () -> end(attemptId, result.body(), result.error()));
     }
 
-    private void cancelOnServer(String tryId, FakeServer server) {
+    private void cancelOnServer(String attemptId, FakeServer server) {
         network.send(id, server.name(), () -> {
-            if (server.cancel(tryId)) {
+            if (server.cancel(attemptId)) {
                 network.send(
                         server.name(),
                         id,
-                        () -> end(tryId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN)));
+                        () -> end(attemptId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN)));
             }
         });
-        network.after(id, CANCEL_LIMIT, () -> end(tryId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_PASSED)));
+        network.after(id, CANCEL_LIMIT, () -> end(attemptId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_PASSED)));
     }
 
-    private void end(String tryId, Optional<String> body, Optional<ErrorKind> error) {
-        if (!open.containsKey(tryId)) {
+    private void end(String attemptId, Optional<String> body, Optional<ErrorKind> error) {
+        if (!open.containsKey(attemptId)) {
             return;
         }
         Optional<Answer> answer = body.map(text -> new Answer(200, List.of(), text.getBytes(StandardCharsets.UTF_8)));
-        reply(tryId, new AttemptResult(answer, error, Optional.empty(), Optional.empty()));
-        handle(new GroupEvent.AttemptEnded(tryId, answer.map(Answer::status), error, ServerState.READY));
+        reply(attemptId, new AttemptResult(answer, error, Optional.empty(), Optional.empty()));
+        handle(new GroupEvent.AttemptEnded(attemptId, answer.map(Answer::status), error, ServerState.READY));
     }
 
-    private void reply(String tryId, AttemptResult result) {
-        Optional.ofNullable(open.remove(tryId)).ifPresent(receiver -> receiver.accept(result));
+    private void reply(String attemptId, AttemptResult result) {
+        Optional.ofNullable(open.remove(attemptId)).ifPresent(receiver -> receiver.accept(result));
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/RequestSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/RequestSimulation.java
@@ -182,7 +182,7 @@
                     ClaimPage page = holders.get(peer).page("", key -> true, network.nowNanos());
                     network.send(peer, id, () -> {
                         holders.get(id).merge(page.attempts(), network.nowNanos());
-                        holders.get(id).onPullComplete(peer, page.knowing(), page.lost());
+                        holders.get(id).onPullComplete(peer, page.historyKnown(), page.lost());
                     });
                 }));
     }
--- a/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
@@ -65,15 +65,15 @@
     }
 
     private static void serve(ServerGroup group, long run, long nowNanos) {
-        String tryId = "try-" + run;
+        String attemptId = "try-" + run;
         GroupEvent arrival =
-                new GroupEvent.RequestArrived(tryId, "service-0/kind-1", true, 1, nowNanos + DEADLINE_NANOS, false);
+                new GroupEvent.RequestArrived(attemptId, "service-0/kind-1", true, 1, nowNanos + DEADLINE_NANOS, false);
         List<GroupAction> actions = group.on(arrival, nowNanos);
         if (actions.stream().noneMatch(GroupAction.Dispatch.class::isInstance)) {
             throw new IllegalStateException("expected a dispatch but got " + actions);
         }
         group.on(
-                new GroupEvent.AttemptEnded(tryId, Optional.of(200), Optional.empty(), ServerState.READY),
+                new GroupEvent.AttemptEnded(attemptId, Optional.of(200), Optional.empty(), ServerState.READY),
                 nowNanos + 50_000);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/tickets/InForceTimes.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/InForceTimes.java
@@ -28,7 +28,7 @@
         List<Long> times = new ArrayList<>();
         for (URI operator : operators) {
             events(operator).stream()
-                    .filter(event -> event.event().part().equals("ticket"))
+                    .filter(event -> event.event().component().equals("ticket"))
                     .filter(event -> event.event()
                             .ticket()
                             .filter(ticket -> ticket == number)
--- a/coppershelf/src/main/java/io/coppershelf/admission/AttemptRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptRequest.java
@@ -6,7 +6,7 @@
 /**
  * One try of a caller's request, on its way to the owner of a server group.
  *
- * @param tryId unique over the fleet and all tries
+ * @param attemptId unique over the fleet and all tries
  * @param group the server group that is to serve it
  * @param route the name of the request kind
  * @param method the HTTP method
@@ -20,7 +20,7 @@
  * @param deadlineNanos the monotonic time after which the answer is of no use
  */
 public record AttemptRequest(
-        String tryId,
+        String attemptId,
         GroupName group,
         String route,
         String method,
--- a/coppershelf/src/main/java/io/coppershelf/admission/AttemptSender.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptSender.java
@@ -12,7 +12,7 @@
      * Hands the try to the owner, once. If nothing was sent the result is {@code OWNER_UNREACHABLE}; if a reply is
      * missing it is {@code OWNER_LOST}.
      */
-    AttemptSender.AttemptExchange send(Vm owner, AttemptRequest request);
+    AttemptExchange send(Vm owner, AttemptRequest request);
 
     /** A try under way at an owner. */
     interface AttemptExchange {
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
@@ -8,13 +8,13 @@
 /** What a server group wants done. */
 public sealed interface GroupAction {
     /** Send the try to the server now. */
-    record Dispatch(String tryId, String server) implements GroupAction {}
+    record Dispatch(String attemptId, String server) implements GroupAction {}
 
     /** Answer the try as not run, at once. */
-    record Refuse(String tryId, ErrorKind error, Duration retryAfter) implements GroupAction {}
+    record Refuse(String attemptId, ErrorKind error, Duration retryAfter) implements GroupAction {}
 
     /** Cancel the try on its server; {@link GroupEvent.AttemptEnded} follows. */
-    record CancelOnServer(String tryId, String server) implements GroupAction {}
+    record CancelOnServer(String attemptId, String server) implements GroupAction {}
 
     /** Ask for the right to eject the server, or renew it. */
     record RequestEjection(String server, String reason) implements GroupAction {}
@@ -29,7 +29,7 @@
     record QueryReachability(String server) implements GroupAction {}
 
     /** Tell the other owners of the service the usual service times, per route in nanoseconds. */
-    record ShareServiceTimes(Map<String, Long> usualNanos) implements GroupAction {}
+    record ShareServiceTimes(Map<String, Long> typicalNanos) implements GroupAction {}
 
     /** Record the change of a server's condition on the time line. */
     record ConditionChanged(String server, ServerCondition from, ServerCondition to, String reason)
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
@@ -21,7 +21,7 @@
     /**
      * A request arrived.
      *
-     * @param tryId unique over the fleet
+     * @param attemptId unique over the fleet
      * @param route the request kind
      * @param idempotent whether it may be repeated
      * @param weight its weight
@@ -29,21 +29,22 @@
      * @param hedge whether it is a second, parallel try of an idempotent request, to be run on a free slot or not at
      *     all
      */
-    record RequestArrived(String tryId, String route, boolean idempotent, int weight, long deadlineNanos, boolean hedge)
+    record RequestArrived(
+            String attemptId, String route, boolean idempotent, int weight, long deadlineNanos, boolean hedge)
             implements GroupEvent {}
 
     /** The sender gave the request up. */
-    record RequestCancelled(String tryId) implements GroupEvent {}
+    record RequestCancelled(String attemptId) implements GroupEvent {}
 
     /**
      * A dispatched try ended.
      *
-     * @param tryId the try
+     * @param attemptId the try
      * @param status the HTTP status of a whole answer, empty if there is none
      * @param error why there is no answer
      * @param serverState what the server said of itself
      */
-    record AttemptEnded(String tryId, Optional<Integer> status, Optional<ErrorKind> error, ServerState serverState)
+    record AttemptEnded(String attemptId, Optional<Integer> status, Optional<ErrorKind> error, ServerState serverState)
             implements GroupEvent {}
 
     /** The server reported itself through a probe; empty state if the probe failed. */
@@ -53,9 +54,9 @@
      * Another owner of the same service told the usual service times that it sees, per route in nanoseconds.
      *
      * @param sender the VM
-     * @param usualNanos the usual service time by route
+     * @param typicalNanos the usual service time by route
      */
-    record ServiceTimesReceived(String sender, Map<String, Long> usualNanos) implements GroupEvent {}
+    record ServiceTimesReceived(String sender, Map<String, Long> typicalNanos) implements GroupEvent {}
 
     /** Another VM says whether it can reach the server, after {@link GroupAction.QueryReachability}. */
     record ReachabilityReported(String server, boolean reachable) implements GroupEvent {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
@@ -3,12 +3,15 @@
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Refuse;
+import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.EjectionRevoked;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
+import io.coppershelf.admission.GroupEvent.ReachabilityReported;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.RequestCancelled;
+import io.coppershelf.admission.GroupEvent.ServiceTimesReceived;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
 import io.coppershelf.admission.internal.ActionCollector;
@@ -90,13 +93,13 @@
         health.advance(nowNanos);
         if (event instanceof RequestArrived request) {
             arrive(request, nowNanos);
-        } else if (event instanceof GroupEvent.AttemptEnded ended) {
+        } else if (event instanceof AttemptEnded ended) {
             end(ended, nowNanos);
         } else if (event instanceof Tick) {
             health.tick(nowNanos);
             refuseHopeless(nowNanos);
         } else if (event instanceof RequestCancelled cancelled) {
-            cancel(cancelled.tryId());
+            cancel(cancelled.attemptId());
         } else if (event instanceof Configured configured) {
             configure(configured, nowNanos);
         } else {
@@ -109,9 +112,9 @@
     private void tellHealth(GroupEvent event, long nowNanos) {
         if (event instanceof ProbeEnded probe) {
             health.probeEnded(probe.server(), probe.state(), nowNanos);
-        } else if (event instanceof GroupEvent.ServiceTimesReceived heard) {
-            health.serviceTimesReceived(heard.sender(), heard.usualNanos(), nowNanos);
-        } else if (event instanceof GroupEvent.ReachabilityReported heard) {
+        } else if (event instanceof ServiceTimesReceived heard) {
+            health.serviceTimesReceived(heard.sender(), heard.typicalNanos(), nowNanos);
+        } else if (event instanceof ReachabilityReported heard) {
             health.reachabilityReported(heard.server(), heard.reachable(), nowNanos);
         } else if (event instanceof EjectionGranted granted) {
             health.ejectionGranted(granted.server(), granted.untilNanos(), nowNanos);
@@ -138,7 +141,7 @@
             return;
         }
         ErrorKind error = estimate.slots() == 0 ? ErrorKind.NO_SERVER : ErrorKind.OVERLOADED;
-        actions.add(new Refuse(request.tryId(), error, retryAfter.retryAfter(expectedWaitNanos(estimate))));
+        actions.add(new Refuse(request.attemptId(), error, retryAfter.retryAfter(expectedWaitNanos(estimate))));
     }
 
     private void refuseHopeless(long nowNanos) {
@@ -150,14 +153,14 @@
         }
     }
 
-    private void cancel(String tryId) {
-        queue.remove(tryId)
-                .ifPresent(waiting -> actions.add(new Refuse(tryId, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO)));
-        slots.find(tryId).ifPresent(running -> actions.add(new CancelOnServer(tryId, running.server())));
+    private void cancel(String attemptId) {
+        queue.remove(attemptId)
+                .ifPresent(waiting -> actions.add(new Refuse(attemptId, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO)));
+        slots.find(attemptId).ifPresent(running -> actions.add(new CancelOnServer(attemptId, running.server())));
     }
 
-    private void end(GroupEvent.AttemptEnded ended, long nowNanos) {
-        Optional<RunningAttempt> running = slots.release(ended.tryId());
+    private void end(AttemptEnded ended, long nowNanos) {
+        Optional<RunningAttempt> running = slots.release(ended.attemptId());
         if (running.isEmpty()) {
             return;
         }
@@ -169,7 +172,7 @@
         } else if (end == AttemptEnd.REFUSED) {
             backoff.recordRefusal(done.server(), nowNanos);
         }
-        health.ended(ended.tryId(), done.server(), end, ended.serverState(), nowNanos);
+        health.ended(ended.attemptId(), done.server(), end, ended.serverState(), nowNanos);
     }
 
     private void dispatchWaiting(long nowNanos) {
@@ -228,8 +231,8 @@
     private void dispatch(QueuedAttempt waiting, String server, long nowNanos) {
         RequestArrived request = waiting.request();
         slots.occupy(new RunningAttempt(request, server, health.observedNanos()));
-        health.dispatched(request.tryId(), server, request.route(), request.idempotent(), nowNanos);
-        actions.add(new Dispatch(request.tryId(), server));
+        health.dispatched(request.attemptId(), server, request.route(), request.idempotent(), nowNanos);
+        actions.add(new Dispatch(request.attemptId(), server));
     }
 
     private WaitEstimate estimate(long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void cancel(String tryId, String server) {
-        add(new GroupAction.CancelOnServer(tryId, server));
+    public void cancel(String attemptId, String server) {
+        add(new GroupAction.CancelOnServer(attemptId, server));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/AttemptEndClassifier.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/AttemptEndClassifier.java
@@ -1,6 +1,6 @@
 package io.coppershelf.admission.internal;
 
-import io.coppershelf.admission.GroupEvent;
+import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.health.AttemptEnd;
 import io.coppershelf.outcome.ErrorKind;
@@ -12,7 +12,7 @@
     private AttemptEndClassifier() {}
 
     /** Returns what the end of the try says about its server. */
-    public static AttemptEnd classify(GroupEvent.AttemptEnded ended) {
+    public static AttemptEnd classify(AttemptEnded ended) {
         if (ended.error().isPresent()) {
             return ofError(ended.error().get());
         }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
@@ -50,8 +50,8 @@
     }
 
     /** Removes and returns the try of the given id. */
-    public Optional<QueuedAttempt> remove(String tryId) {
-        return removeFirst(waiting -> waiting.attemptId().equals(tryId));
+    public Optional<QueuedAttempt> remove(String attemptId) {
+        return removeFirst(waiting -> waiting.attemptId().equals(attemptId));
     }
 
     /** Returns the expected service times of the tries before the given place, summed. */
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/QueuedAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/QueuedAttempt.java
@@ -11,7 +11,7 @@
 public record QueuedAttempt(RequestArrived request, long expectedNanos) {
     /** Returns the id of the try. */
     public String attemptId() {
-        return request.tryId();
+        return request.attemptId();
     }
 
     /** Returns the time left until the deadline, negative after it. */
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/RunningAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/RunningAttempt.java
@@ -12,6 +12,6 @@
 public record RunningAttempt(RequestArrived request, String server, long dispatchedNanos) {
     /** Returns the id of the try. */
     public String attemptId() {
-        return request.tryId();
+        return request.attemptId();
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
@@ -26,15 +26,15 @@
     }
 
     /** Frees the slot of the try; returns the try, empty if it holds none. */
-    public Optional<RunningAttempt> release(String tryId) {
-        Optional<RunningAttempt> running = Optional.ofNullable(byTry.remove(tryId));
-        running.ifPresent(ended -> byServer.get(ended.server()).remove(tryId));
+    public Optional<RunningAttempt> release(String attemptId) {
+        Optional<RunningAttempt> running = Optional.ofNullable(byTry.remove(attemptId));
+        running.ifPresent(ended -> byServer.get(ended.server()).remove(attemptId));
         return running;
     }
 
     /** Returns the try if it runs. */
-    public Optional<RunningAttempt> find(String tryId) {
-        return Optional.ofNullable(byTry.get(tryId));
+    public Optional<RunningAttempt> find(String attemptId) {
+        return Optional.ofNullable(byTry.get(attemptId));
     }
 
     /** Returns the tries that run on the server, the oldest first. */
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardCancel.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardCancel.java
@@ -5,6 +5,6 @@
 /**
  * The sender of a forwarded try gave it up; the reply to the try itself tells what became of it.
  *
- * @param tryId the try
+ * @param attemptId the try
  */
-record ForwardCancel(String tryId) implements PeerMessage {}
+record ForwardCancel(String attemptId) implements PeerMessage {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardCancelCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardCancelCodec.java
@@ -21,7 +21,7 @@
 
     @Override
     public void write(ForwardCancel message, MessagePacker packer) throws IOException {
-        packer.packString(message.tryId());
+        packer.packString(message.attemptId());
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReply.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReply.java
@@ -6,7 +6,7 @@
 /**
  * What became of a forwarded try.
  *
- * @param tryId the try
+ * @param attemptId the try
  * @param result how it ended
  */
-record ForwardReply(String tryId, AttemptResult result) implements PeerMessage {}
+record ForwardReply(String attemptId, AttemptResult result) implements PeerMessage {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReplyCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReplyCodec.java
@@ -29,7 +29,7 @@
     @Override
     public void write(ForwardReply message, MessagePacker packer) throws IOException {
         AttemptResult result = message.result();
-        packer.packString(message.tryId());
+        packer.packString(message.attemptId());
         MessageFields.writeOptional(packer, result.answer(), ForwardReplyCodec::writeAnswer);
         MessageFields.writeOptional(packer, result.error(), (target, error) -> target.packString(error.name()));
         MessageFields.writeOptional(packer, result.retryAfter(), (target, delay) -> target.packLong(delay.toMillis()));
@@ -49,7 +49,7 @@
 
     @Override
     public ForwardReply read(MessageUnpacker unpacker) throws IOException {
-        String tryId = unpacker.unpackString();
+        String attemptId = unpacker.unpackString();
         Optional<Answer> answer = MessageFields.readOptional(unpacker, ForwardReplyCodec::readAnswer);
         Optional<ErrorKind> error = MessageFields.readOptional(unpacker, WireFields::readErrorKind);
         if (answer.isPresent() == error.isPresent()) {
@@ -59,7 +59,7 @@
                 MessageFields.readOptional(unpacker, source -> Duration.ofMillis(source.unpackLong()));
         Optional<GroupLoad> load =
                 MessageFields.readOptional(unpacker, source -> new GroupLoad(source.unpackInt(), source.unpackLong()));
-        return new ForwardReply(tryId, new AttemptResult(answer, error, retryAfter, load));
+        return new ForwardReply(attemptId, new AttemptResult(answer, error, retryAfter, load));
     }
 
     private static Answer readAnswer(MessageUnpacker unpacker) throws IOException {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
@@ -34,7 +34,7 @@
     @Override
     public void write(ForwardRequest message, MessagePacker packer) throws IOException {
         AttemptRequest request = message.request();
-        packer.packString(request.tryId());
+        packer.packString(request.attemptId());
         packer.packString(request.group().service());
         packer.packString(request.group().dataCentre());
         packer.packString(request.route());
@@ -51,7 +51,7 @@
 
     @Override
     public ForwardRequest read(MessageUnpacker unpacker) throws IOException {
-        String tryId = unpacker.unpackString();
+        String attemptId = unpacker.unpackString();
         GroupName group = new GroupName(unpacker.unpackString(), unpacker.unpackString());
         String route = unpacker.unpackString();
         String method = unpacker.unpackString();
@@ -66,7 +66,7 @@
         long deadline = time.nanos() + Duration.ofMillis(remainingMillis).toNanos();
         return new ForwardRequest(
                 new AttemptRequest(
-                        tryId,
+                        attemptId,
                         group,
                         route,
                         method,
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
@@ -1,6 +1,6 @@
 package io.coppershelf.admission.internal.runtime;
 
-import io.coppershelf.admission.AttemptSender;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.component.TimeSource;
 import io.coppershelf.peer.PeerExchange;
 import java.util.concurrent.ConcurrentHashMap;
@@ -9,7 +9,7 @@
 /** Serves tries that other VMs forward to this one. */
 final class ForwardServer {
     private final LocalGroups groups;
-    private final ConcurrentMap<ForwardKey, AttemptSender.AttemptExchange> underWay = new ConcurrentHashMap<>();
+    private final ConcurrentMap<ForwardKey, AttemptExchange> underWay = new ConcurrentHashMap<>();
 
     ForwardServer(LocalGroups groups) {
         this.groups = groups;
@@ -23,22 +23,22 @@
     }
 
     private void serve(String sender, ForwardRequest message, PeerExchange.Replies replies) {
-        ForwardKey key = new ForwardKey(sender, message.request().tryId());
-        AttemptSender.AttemptExchange exchange = groups.submit(message.request());
+        ForwardKey key = new ForwardKey(sender, message.request().attemptId());
+        AttemptExchange exchange = groups.submit(message.request());
         underWay.put(key, exchange);
         var unused = exchange.result().thenAccept(result -> {
             underWay.remove(key, exchange);
-            replies.reply(new ForwardReply(message.request().tryId(), result));
+            replies.reply(new ForwardReply(message.request().attemptId(), result));
         });
     }
 
     private void cancel(String sender, ForwardCancel message) {
-        AttemptSender.AttemptExchange exchange = underWay.get(new ForwardKey(sender, message.tryId()));
+        AttemptExchange exchange = underWay.get(new ForwardKey(sender, message.attemptId()));
         if (exchange != null) {
             exchange.cancel();
         }
     }
 
     /** A sender may cancel its own tries only. */
-    private record ForwardKey(String sender, String tryId) {}
+    private record ForwardKey(String sender, String attemptId) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedAttempt.java
@@ -2,7 +2,7 @@
 
 import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.AttemptResult;
-import io.coppershelf.admission.AttemptSender;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.ErrorKind;
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A try that was forwarded to its owner on another VM. */
-final class ForwardedAttempt implements AttemptSender.AttemptExchange {
+final class ForwardedAttempt implements AttemptExchange {
     /** How long after the deadline the owner may still tell what became of the try. */
     private static final Duration REPLY_MARGIN = Duration.ofMillis(500);
 
@@ -44,17 +44,17 @@
         Duration timeout = Duration.ofMillis(remainingMillis).plus(REPLY_MARGIN);
         CompletableFuture<AttemptResult> result = peers.request(
                         owner, new ForwardRequest(request, remainingMillis), timeout)
-                .thenApply(reply -> read(reply, request.tryId()));
+                .thenApply(reply -> read(reply, request.attemptId()));
         return new ForwardedAttempt(peers, owner, request, result);
     }
 
-    private static AttemptResult read(PeerReply reply, String tryId) {
+    private static AttemptResult read(PeerReply reply, String attemptId) {
         if (reply instanceof PeerReply.NotSent) {
             return AttemptResult.failed(ErrorKind.OWNER_UNREACHABLE);
         }
         if (reply instanceof PeerReply.Received received
                 && received.message() instanceof ForwardReply forward
-                && forward.tryId().equals(tryId)) {
+                && forward.attemptId().equals(attemptId)) {
             return forward.result();
         }
         return AttemptResult.failed(ErrorKind.OWNER_LOST);
@@ -68,7 +68,7 @@
     @Override
     public void cancel() {
         if (!result.isDone()) {
-            peers.send(owner, new ForwardCancel(request.tryId()));
+            peers.send(owner, new ForwardCancel(request.attemptId()));
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActionExecutor.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActionExecutor.java
@@ -50,7 +50,7 @@
                     ask.server(),
                     reachable -> group.on(new GroupEvent.ReachabilityReported(ask.server(), reachable)));
         } else if (action instanceof GroupAction.ShareServiceTimes share) {
-            peers.shareServiceTimes(name, share.usualNanos());
+            peers.shareServiceTimes(name, share.typicalNanos());
         } else if (action instanceof GroupAction.ConditionChanged change) {
             tell(change);
         }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
@@ -3,7 +3,7 @@
 import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.AttemptResult.GroupLoad;
-import io.coppershelf.admission.AttemptSender;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.admission.GroupAction;
 import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
@@ -77,14 +77,14 @@
     }
 
     /** Takes a try in; a try id that is under way already is not run a second time. */
-    AttemptSender.AttemptExchange submit(AttemptRequest request) {
+    AttemptExchange submit(AttemptRequest request) {
         PendingAttempt pending = new PendingAttempt(request, this::cancel);
-        if (tries.putIfAbsent(request.tryId(), pending) != null) {
+        if (tries.putIfAbsent(request.attemptId(), pending) != null) {
             pending.end(AttemptResult.failed(ErrorKind.OWNER_LOST));
             return pending;
         }
         on(new GroupEvent.RequestArrived(
-                request.tryId(),
+                request.attemptId(),
                 request.route(),
                 request.idempotent(),
                 request.weight(),
@@ -94,7 +94,7 @@
     }
 
     private void cancel(PendingAttempt pending) {
-        on(new GroupEvent.RequestCancelled(pending.request().tryId()));
+        on(new GroupEvent.RequestCancelled(pending.request().attemptId()));
         endIfWaiting(pending, AttemptResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
     }
 
@@ -113,49 +113,49 @@
             return;
         }
         if (action instanceof GroupAction.Refuse refuse) {
-            pending(refuse.tryId())
+            pending(refuse.attemptId())
                     .ifPresent(pending ->
                             endIfWaiting(pending, AttemptResult.refused(refuse.error(), refuse.retryAfter())));
             return;
         }
         if (action instanceof GroupAction.CancelOnServer cancel) {
-            pending(cancel.tryId()).ifPresent(pending -> pending.cancelOnServer(CANCEL_LIMIT));
+            pending(cancel.attemptId()).ifPresent(pending -> pending.cancelOnServer(CANCEL_LIMIT));
             return;
         }
         healthActions.perform(action);
     }
 
-    private Optional<PendingAttempt> pending(String tryId) {
-        return Optional.ofNullable(tries.get(tryId));
+    private Optional<PendingAttempt> pending(String attemptId) {
+        return Optional.ofNullable(tries.get(attemptId));
     }
 
     private void dispatch(GroupAction.Dispatch dispatch) {
-        Optional<PendingAttempt> pending = pending(dispatch.tryId());
+        Optional<PendingAttempt> pending = pending(dispatch.attemptId());
         Optional<ServerSpec> server = server(dispatch.server());
         if (pending.isEmpty() || server.isEmpty()) {
             ErrorKind error = pending.isEmpty() ? ErrorKind.DEADLINE_BEFORE_RUN : ErrorKind.NO_SERVER;
-            ended(dispatch.tryId(), BackendResult.failed(error, ServerState.UNSTATED));
+            ended(dispatch.attemptId(), BackendResult.failed(error, ServerState.UNSTATED));
             return;
         }
         send(pending.get(), server.get());
     }
 
     private void send(PendingAttempt pending, ServerSpec server) {
-        String tryId = pending.request().tryId();
+        String attemptId = pending.request().attemptId();
         boolean isSent = pending.send(() -> {
             BackendClient.Exchange exchange = backend.send(backendRequest(pending.request(), server));
-            var unused = exchange.result().thenAccept(result -> ended(tryId, result));
+            var unused = exchange.result().thenAccept(result -> ended(attemptId, result));
             return exchange;
         });
         if (!isSent) {
             on(new GroupEvent.AttemptEnded(
-                    tryId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN), ServerState.UNSTATED));
+                    attemptId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN), ServerState.UNSTATED));
         }
     }
 
     private static BackendRequest backendRequest(AttemptRequest request, ServerSpec server) {
         return new BackendRequest(
-                request.tryId(),
+                request.attemptId(),
                 server,
                 request.method(),
                 request.target(),
@@ -165,10 +165,10 @@
                 request.largestAnswer());
     }
 
-    private void ended(String tryId, BackendResult result) {
-        PendingAttempt pending = tries.remove(tryId);
+    private void ended(String attemptId, BackendResult result) {
+        PendingAttempt pending = tries.remove(attemptId);
         on(new GroupEvent.AttemptEnded(
-                tryId, result.answer().map(BackendResult.Answer::status), result.error(), result.serverState()));
+                attemptId, result.answer().map(BackendResult.Answer::status), result.error(), result.serverState()));
         if (pending != null) {
             pending.end(AttemptResult.of(result).withLoad(load()));
         }
@@ -176,7 +176,7 @@
 
     private void endIfWaiting(PendingAttempt pending, AttemptResult outcome) {
         if (pending.endIfWaiting(outcome.withLoad(load()))) {
-            tries.remove(pending.request().tryId());
+            tries.remove(pending.request().attemptId());
         }
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
@@ -3,7 +3,7 @@
 import com.google.common.flogger.FluentLogger;
 import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.AttemptResult;
-import io.coppershelf.admission.AttemptSender;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.OwnerLookup;
@@ -43,7 +43,7 @@
     }
 
     /** Takes a try in, or refuses it as not run if this VM may not serve its group. */
-    AttemptSender.AttemptExchange submit(AttemptRequest request) {
+    AttemptExchange submit(AttemptRequest request) {
         if (isStopping) {
             return refused(ErrorKind.STOPPING);
         }
@@ -55,8 +55,8 @@
                 .orElseGet(() -> refused(ErrorKind.NO_SERVER));
     }
 
-    private static AttemptSender.AttemptExchange refused(ErrorKind error) {
-        return new EndedTry(CompletableFuture.completedFuture(AttemptResult.failed(error)));
+    private static AttemptExchange refused(ErrorKind error) {
+        return new EndedAttempt(CompletableFuture.completedFuture(AttemptResult.failed(error)));
     }
 
     /** Returns the group, made if needed; empty if the configuration has no server for it. */
@@ -137,7 +137,7 @@
     }
 
     /** A try that ended at once. */
-    private record EndedTry(CompletableFuture<AttemptResult> result) implements AttemptSender.AttemptExchange {
+    private record EndedAttempt(CompletableFuture<AttemptResult> result) implements AttemptExchange {
         @Override
         public void cancel() {}
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PendingAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PendingAttempt.java
@@ -2,7 +2,7 @@
 
 import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.AttemptResult;
-import io.coppershelf.admission.AttemptSender;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.backend.BackendClient.Exchange;
 import java.time.Duration;
 import java.util.Optional;
@@ -14,7 +14,7 @@
  * A try at its owner: first waiting, then sent to a backend server, then ended. It is sent at most once, and never
  * after it ended.
  */
-final class PendingAttempt implements AttemptSender.AttemptExchange {
+final class PendingAttempt implements AttemptExchange {
     private final AttemptRequest request;
     private final Consumer<PendingAttempt> onCancel;
     private final CompletableFuture<AttemptResult> result = new CompletableFuture<>();
--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendRequest.java
@@ -6,7 +6,7 @@
 /**
  * One try of a request on one backend server.
  *
- * @param tryId unique over the fleet and all tries; the server's answer must carry it
+ * @param attemptId unique over the fleet and all tries; the server's answer must carry it
  * @param server the server
  * @param method the HTTP method
  * @param target the path and query
@@ -16,7 +16,7 @@
  * @param largestAnswer the largest answer body in bytes
  */
 public record BackendRequest(
-        String tryId,
+        String attemptId,
         ServerSpec server,
         String method,
         String target,
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/AnswerHandler.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/AnswerHandler.java
@@ -42,7 +42,7 @@
 
     private Optional<CoppershelfException> fault(ResponseInfo info) {
         HttpHeaders headers = info.headers();
-        if (!ServerProtocol.belongsTo(headers, request.tryId())) {
+        if (!ServerProtocol.belongsTo(headers, request.attemptId())) {
             return Optional.of(foreign(headers));
         }
         if (!hasStatedLength(info)) {
@@ -59,7 +59,8 @@
     private CoppershelfException foreign(HttpHeaders headers) {
         String actual = headers.firstValue(ServerProtocol.TRY_ID).orElse("none");
         return CoppershelfException.of(
-                ErrorKind.ANSWER_FOREIGN, "expected an answer to try " + request.tryId() + " but got one to " + actual);
+                ErrorKind.ANSWER_FOREIGN,
+                "expected an answer to try " + request.attemptId() + " but got one to " + actual);
     }
 
     private boolean hasStatedLength(ResponseInfo info) {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
@@ -124,7 +124,7 @@
     private void hearCancelAnswer(HttpResponse<?> answer, Duration limit) {
         boolean isTrusted = answer != null
                 && answer.statusCode() == 200
-                && ServerProtocol.belongsTo(answer.headers(), request.tryId());
+                && ServerProtocol.belongsTo(answer.headers(), request.attemptId());
         if (isTrusted && ServerProtocol.isNotStarted(answer.headers())) {
             giveUp(ErrorKind.DEADLINE_BEFORE_RUN);
             return;
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/ServerProtocol.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/ServerProtocol.java
@@ -38,16 +38,16 @@
         return builder.method(
                         request.method(),
                         isEmpty ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(request.body()))
-                .setHeader(TRY_ID, request.tryId())
+                .setHeader(TRY_ID, request.attemptId())
                 .setHeader(DEADLINE_MILLIS, Long.toString(remainingMillis))
                 .build();
     }
 
     static HttpRequest cancelRequest(BackendRequest request, Duration timeout) {
-        String path = CANCEL_PATH + URLEncoder.encode(request.tryId(), StandardCharsets.UTF_8);
+        String path = CANCEL_PATH + URLEncoder.encode(request.attemptId(), StandardCharsets.UTF_8);
         return HttpRequest.newBuilder(uri(request.server(), path))
                 .POST(BodyPublishers.noBody())
-                .setHeader(TRY_ID, request.tryId())
+                .setHeader(TRY_ID, request.attemptId())
                 .timeout(timeout)
                 .build();
     }
@@ -59,9 +59,9 @@
                 .build();
     }
 
-    static boolean belongsTo(HttpHeaders answer, String tryId) {
+    static boolean belongsTo(HttpHeaders answer, String attemptId) {
         return answer.allValues(TRY_ID).size() == 1
-                && answer.firstValue(TRY_ID).orElseThrow().equals(tryId);
+                && answer.firstValue(TRY_ID).orElseThrow().equals(attemptId);
     }
 
     static boolean isNotStarted(HttpHeaders answer) {
--- a/coppershelf/src/main/java/io/coppershelf/catalog/Route.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/Route.java
@@ -14,7 +14,7 @@
  * @param objective the time within which an answer has its full worth
  * @param rank the urgency, 0 is the most urgent
  * @param maxServers how many servers a request may be sent to
- * @param parts the services that share the requests, at least one
+ * @param weightedServices the services that share the requests, at least one
  */
 public record Route(
         String name,
@@ -25,9 +25,9 @@
         Duration objective,
         int rank,
         int maxServers,
-        List<WeightedService> parts) {
+        List<WeightedService> weightedServices) {
     /** Copies the parts. */
     public Route {
-        parts = List.copyOf(parts);
+        weightedServices = List.copyOf(weightedServices);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
@@ -13,7 +13,7 @@
     ComponentKey<Claims> NAME = ComponentKey.named("claim", Claims.class);
 
     /** Claims the key of a non-idempotent request before its first try; never completes exceptionally. */
-    CompletableFuture<Claims.ClaimResult> claim(InboundRequest request);
+    CompletableFuture<ClaimResult> claim(InboundRequest request);
 
     /**
      * Tells how the request of a claim ended, so that a repeat gets the same truth. After {@link Outcome#NOT_RUN} the
@@ -26,12 +26,12 @@
     /** What a claim came to. */
     sealed interface ClaimResult {
         /** The key is claimed for this request; it may be sent. */
-        record Claimed() implements Claims.ClaimResult {}
+        record Claimed() implements ClaimResult {}
 
         /** The key was used before and this is the answer of that time. */
-        record Answered(Answer answer) implements Claims.ClaimResult {}
+        record Answered(Answer answer) implements ClaimResult {}
 
         /** The request must not be sent; the kind says why. */
-        record Rejected(ErrorKind error) implements Claims.ClaimResult {}
+        record Rejected(ErrorKind error) implements ClaimResult {}
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
@@ -89,7 +89,7 @@
                 ClaimPage.class,
                 (m, out) -> {
                     writeList(m.attempts(), ClaimCodecs::writeAttempt, out);
-                    out.packString(m.last()).packBoolean(m.complete()).packBoolean(m.knowing());
+                    out.packString(m.last()).packBoolean(m.complete()).packBoolean(m.historyKnown());
                     writeList(m.lost(), (id, packer) -> packer.packString(id), out);
                 },
                 in -> new ClaimPage(
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
@@ -43,10 +43,11 @@
      * @param attempts the attempts
      * @param last the last key that was looked at
      * @param complete whether nothing follows
-     * @param knowing whether the sender knows the attempts that were made before it started
+     * @param historyKnown whether the sender knows the attempts that were made before it started
      * @param lost the VMs that the sender saw leave the list within the window without a handover
      */
-    record ClaimPage(List<TransferredClaim> attempts, String last, boolean complete, boolean knowing, List<String> lost)
+    record ClaimPage(
+            List<TransferredClaim> attempts, String last, boolean complete, boolean historyKnown, List<String> lost)
             implements ClaimMessage {}
 
     /** Hands attempts to a VM that has become a holder of their keys. */
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
@@ -1,6 +1,6 @@
 package io.coppershelf.claim.internal;
 
-import io.coppershelf.claim.Claims;
+import io.coppershelf.claim.Claims.ClaimResult;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimCompletion;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimConfirmation;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimReply;
@@ -47,17 +47,17 @@
     }
 
     /** Claims the key; an attempt that does not get it is told to the holders as not run. */
-    public CompletableFuture<Claims.ClaimResult> claim(ClaimRequest request) {
+    public CompletableFuture<ClaimResult> claim(ClaimRequest request) {
         FleetView view = fleet.current();
         List<String> ids = ClaimCoverage.holders(view, request.key());
         ClaimRound round = new ClaimRound(ids);
-        CompletableFuture<Claims.ClaimResult> result = new CompletableFuture<>();
+        CompletableFuture<ClaimResult> result = new CompletableFuture<>();
         round.verdict().ifPresent(result::complete);
         for (String id : ids) {
             var unused = ask(view, id, request).thenAccept(answer -> onAnswer(round, id, answer, result));
         }
         return result.whenComplete((verdict, failure) -> {
-            if (!(verdict instanceof Claims.ClaimResult.Claimed)) {
+            if (!(verdict instanceof ClaimResult.Claimed)) {
                 complete(notRun(request));
             }
         });
@@ -88,11 +88,8 @@
     }
 
     private static void onAnswer(
-            ClaimRound round,
-            String id,
-            Optional<HolderDecision> answer,
-            CompletableFuture<Claims.ClaimResult> result) {
-        Optional<Claims.ClaimResult> verdict;
+            ClaimRound round, String id, Optional<HolderDecision> answer, CompletableFuture<ClaimResult> result) {
+        Optional<ClaimResult> verdict;
         synchronized (round) {
             verdict = answer.isPresent() ? round.onReply(id, answer.get()) : round.onNoReply(id);
         }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
@@ -1,6 +1,6 @@
 package io.coppershelf.claim.internal;
 
-import io.coppershelf.claim.Claims;
+import io.coppershelf.claim.Claims.ClaimResult;
 import io.coppershelf.outcome.ErrorKind;
 import java.util.HashSet;
 import java.util.List;
@@ -14,7 +14,7 @@
     private final Set<String> open;
     private final Set<String> accepted = new HashSet<>();
     private final int quorum;
-    private Optional<Claims.ClaimResult> verdict = Optional.empty();
+    private Optional<ClaimResult> verdict = Optional.empty();
 
     /**
      * Returns a round that asks the given holders.
@@ -28,7 +28,7 @@
     }
 
     /** Takes in what a holder says; returns the verdict if this decides the round. */
-    public Optional<Claims.ClaimResult> onReply(String holder, HolderDecision answer) {
+    public Optional<ClaimResult> onReply(String holder, HolderDecision answer) {
         if (verdict.isPresent() || !open.remove(holder)) {
             return Optional.empty();
         }
@@ -41,23 +41,22 @@
     }
 
     /** Takes in that a holder does not answer; returns the verdict if this decides the round. */
-    public Optional<Claims.ClaimResult> onNoReply(String holder) {
+    public Optional<ClaimResult> onNoReply(String holder) {
         return onReply(holder, HolderDecision.of(HolderDecision.Kind.NO_HISTORY));
     }
 
     /** Returns the verdict, empty while it is open. */
-    public Optional<Claims.ClaimResult> verdict() {
+    public Optional<ClaimResult> verdict() {
         return verdict;
     }
 
-    private Optional<Claims.ClaimResult> decide(HolderDecision answer) {
+    private Optional<ClaimResult> decide(HolderDecision answer) {
         return switch (answer.verdict()) {
-            case ACCEPTED ->
-                accepted.size() >= quorum ? Optional.of(new Claims.ClaimResult.Claimed()) : Optional.empty();
+            case ACCEPTED -> accepted.size() >= quorum ? Optional.of(new ClaimResult.Claimed()) : Optional.empty();
             case RUN ->
                 Optional.of(answer.answer()
-                        .<Claims.ClaimResult>map(Claims.ClaimResult.Answered::new)
-                        .orElseGet(() -> new Claims.ClaimResult.Rejected(ErrorKind.KEY_ANSWER_NOT_KEPT)));
+                        .<ClaimResult>map(ClaimResult.Answered::new)
+                        .orElseGet(() -> new ClaimResult.Rejected(ErrorKind.KEY_ANSWER_NOT_KEPT)));
             case RUNNING -> rejected(ErrorKind.KEY_RUNNING);
             case UNKNOWN -> rejected(ErrorKind.KEY_OUTCOME_UNKNOWN);
             case REUSED -> rejected(ErrorKind.KEY_REUSED);
@@ -71,7 +70,7 @@
         }
     }
 
-    private static Optional<Claims.ClaimResult> rejected(ErrorKind kind) {
-        return Optional.of(new Claims.ClaimResult.Rejected(kind));
+    private static Optional<ClaimResult> rejected(ErrorKind kind) {
+        return Optional.of(new ClaimResult.Rejected(kind));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
@@ -130,7 +130,7 @@
             pull(id, page.last());
             return;
         }
-        holder.onPullComplete(id, page.knowing(), page.lost());
+        holder.onPullComplete(id, page.historyKnown(), page.lost());
         pulling.remove(id);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderDecision.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderDecision.java
@@ -9,9 +9,9 @@
  * @param verdict its verdict
  * @param answer the whole answer of the earlier attempt, if it ran and the answer is kept
  */
-public record HolderDecision(HolderDecision.Kind verdict, Optional<Answer> answer) {
+public record HolderDecision(Kind verdict, Optional<Answer> answer) {
     /** Returns an answer without the answer of an earlier attempt. */
-    public static HolderDecision of(HolderDecision.Kind verdict) {
+    public static HolderDecision of(Kind verdict) {
         return new HolderDecision(verdict, Optional.empty());
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/EventLine.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/EventLine.java
@@ -23,7 +23,7 @@
                 .append(String.format("+%04x ", stamped.stamp() & COUNTER_MASK))
                 .append(stamped.vm())
                 .append(" [")
-                .append(event.part())
+                .append(event.component())
                 .append("] ")
                 .append(event.text());
         event.service().ifPresent(name -> line.append(" service=").append(name));
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/WeightedRoundRobin.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/WeightedRoundRobin.java
@@ -25,7 +25,7 @@
 
     /** Returns the service that gets the next request of the route. */
     public String next(Route route) {
-        List<WeightedService> parts = route.parts();
+        List<WeightedService> parts = route.weightedServices();
         if (parts.size() == 1) {
             return parts.get(0).service();
         }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
@@ -1,5 +1,11 @@
 package io.coppershelf.floor.internal;
 
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantReply;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantResult;
+import io.coppershelf.floor.internal.FloorMessage.GrantRevocation;
+import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import io.coppershelf.floor.internal.FloorMessage.VoteReply;
 import io.coppershelf.floor.internal.FloorMessage.VoteRequest;
 import io.coppershelf.peer.FunctionCodec;
@@ -45,17 +51,17 @@
                 in -> new VoteReply(in.unpackString(), in.unpackLong(), in.unpackLong(), in.unpackBoolean()));
     }
 
-    private static PeerMessageCodec<FloorMessage.GrantRequest> rightRequest() {
+    private static PeerMessageCodec<GrantRequest> rightRequest() {
         return new FunctionCodec<>(
                 82,
-                FloorMessage.GrantRequest.class,
+                GrantRequest.class,
                 (m, out) -> out.packString(m.service())
                         .packString(m.server())
                         .packLong(m.sequence())
                         .packBoolean(m.live())
                         .packLong(m.ticket())
                         .packInt(m.allowance()),
-                in -> new FloorMessage.GrantRequest(
+                in -> new GrantRequest(
                         in.unpackString(),
                         in.unpackString(),
                         in.unpackLong(),
@@ -64,53 +70,53 @@
                         in.unpackInt()));
     }
 
-    private static PeerMessageCodec<FloorMessage.GrantReply> rightReply() {
+    private static PeerMessageCodec<GrantReply> rightReply() {
         return new FunctionCodec<>(
                 83,
-                FloorMessage.GrantReply.class,
+                GrantReply.class,
                 (m, out) -> out.packString(m.service())
                         .packString(m.server())
                         .packLong(m.sequence())
                         .packString(m.verdict().name())
                         .packString(m.granter()),
-                in -> new FloorMessage.GrantReply(
+                in -> new GrantReply(
                         in.unpackString(), in.unpackString(), in.unpackLong(), readVerdict(in), in.unpackString()));
     }
 
-    private static PeerMessageCodec<FloorMessage.GrantRelease> rightRelease() {
+    private static PeerMessageCodec<GrantRelease> rightRelease() {
         return new FunctionCodec<>(
                 84,
-                FloorMessage.GrantRelease.class,
+                GrantRelease.class,
                 (m, out) -> out.packString(m.service()).packString(m.server()).packLong(m.sequence()),
-                in -> new FloorMessage.GrantRelease(in.unpackString(), in.unpackString(), in.unpackLong()));
+                in -> new GrantRelease(in.unpackString(), in.unpackString(), in.unpackLong()));
     }
 
-    private static PeerMessageCodec<FloorMessage.GrantRevocation> rightRevoked() {
+    private static PeerMessageCodec<GrantRevocation> rightRevoked() {
         return new FunctionCodec<>(
                 85,
-                FloorMessage.GrantRevocation.class,
+                GrantRevocation.class,
                 (m, out) -> out.packString(m.service()).packString(m.server()),
-                in -> new FloorMessage.GrantRevocation(in.unpackString(), in.unpackString()));
+                in -> new GrantRevocation(in.unpackString(), in.unpackString()));
     }
 
-    private static PeerMessageCodec<FloorMessage.OutOfServiceReport> outReport() {
+    private static PeerMessageCodec<OutOfServiceReport> outReport() {
         return new FunctionCodec<>(
                 86,
-                FloorMessage.OutOfServiceReport.class,
+                OutOfServiceReport.class,
                 (m, out) -> {
                     out.packString(m.service());
                     writeStrings(m.servers(), out);
                 },
-                in -> new FloorMessage.OutOfServiceReport(in.unpackString(), readStrings(in)));
+                in -> new OutOfServiceReport(in.unpackString(), readStrings(in)));
     }
 
-    private static FloorMessage.GrantResult readVerdict(MessageUnpacker in) throws IOException {
+    private static GrantResult readVerdict(MessageUnpacker in) throws IOException {
         String name = in.unpackString();
-        return Arrays.stream(FloorMessage.GrantResult.values())
+        return Arrays.stream(GrantResult.values())
                 .filter(verdict -> verdict.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IOException("verdict \"" + name + "\", expected one of "
-                        + Arrays.toString(FloorMessage.GrantResult.values())));
+                .orElseThrow(() -> new IOException(
+                        "verdict \"" + name + "\", expected one of " + Arrays.toString(GrantResult.values())));
     }
 
     private static void writeStrings(List<String> strings, MessagePacker out) throws IOException {
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorMessage.java
@@ -36,12 +36,12 @@
             implements FloorMessage {}
 
     /**
-     * Answers a {@link FloorMessage.GrantRequest}.
+     * Answers a {@link GrantRequest}.
      *
      * @param verdict what became of it
      * @param granter the granter that the sender knows, empty string if none
      */
-    record GrantReply(String service, String server, long sequence, FloorMessage.GrantResult verdict, String granter)
+    record GrantReply(String service, String server, long sequence, GrantResult verdict, String granter)
             implements FloorMessage {}
 
     /**
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
@@ -1,6 +1,12 @@
 package io.coppershelf.floor.internal;
 
 import io.coppershelf.floor.internal.FloorAction.Send;
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantReply;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantResult;
+import io.coppershelf.floor.internal.FloorMessage.GrantRevocation;
+import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import io.coppershelf.floor.internal.FloorMessage.VoteReply;
 import io.coppershelf.floor.internal.FloorMessage.VoteRequest;
 import io.coppershelf.floor.internal.LeaseVoter.Candidate;
@@ -56,7 +62,7 @@
         List<FloorAction> actions = new ArrayList<>(holder.onRules(this::rules, this::voters));
         granters.forEach((service, granter) -> {
             for (GrantTable.Grant grant : granter.excess(rules(service), nowNanos)) {
-                actions.add(new Send(grant.holder(), new FloorMessage.GrantRevocation(service, grant.server())));
+                actions.add(new Send(grant.holder(), new GrantRevocation(service, grant.server())));
             }
         });
         return actions;
@@ -94,20 +100,20 @@
             onVoteReply(sender, reply, nowNanos);
             return List.of();
         }
-        if (message instanceof FloorMessage.GrantRequest request) {
+        if (message instanceof GrantRequest request) {
             return onRightRequest(sender, request, nowNanos);
         }
-        if (message instanceof FloorMessage.GrantReply reply) {
+        if (message instanceof GrantReply reply) {
             return holder.onReply(sender, reply, nowNanos);
         }
-        if (message instanceof FloorMessage.GrantRevocation revoked) {
+        if (message instanceof GrantRevocation revoked) {
             return holder.onRevoked(revoked.service(), revoked.server(), voters(revoked.service()));
         }
-        if (message instanceof FloorMessage.GrantRelease release) {
+        if (message instanceof GrantRelease release) {
             granter(release.service()).onRelease(sender, release);
             return List.of();
         }
-        FloorMessage.OutOfServiceReport report = (FloorMessage.OutOfServiceReport) message;
+        OutOfServiceReport report = (OutOfServiceReport) message;
         granter(report.service()).onReport(sender, report, nowNanos);
         return List.of();
     }
@@ -171,16 +177,14 @@
         granter.lease().onVote(sender, reply.round(), nowNanos);
     }
 
-    private List<FloorAction> onRightRequest(String sender, FloorMessage.GrantRequest request, long nowNanos) {
+    private List<FloorAction> onRightRequest(String sender, GrantRequest request, long nowNanos) {
         String service = request.service();
         becomeCandidateIfBestRanked(service);
         Granter granter = granters.get(service);
-        FloorMessage.GrantResult verdict = granter == null
-                ? FloorMessage.GrantResult.NOT_GRANTER
-                : granter.decide(sender, request, rules(service), nowNanos);
+        GrantResult verdict =
+                granter == null ? GrantResult.NOT_GRANTER : granter.decide(sender, request, rules(service), nowNanos);
         String known = voter.votedFor(service, nowNanos).orElse("");
-        return List.of(new Send(
-                sender, new FloorMessage.GrantReply(service, request.server(), request.sequence(), verdict, known)));
+        return List.of(new Send(sender, new GrantReply(service, request.server(), request.sequence(), verdict, known)));
     }
 
     private List<FloorAction> voteRound(String service, Granter granter, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantHolder.java
@@ -4,6 +4,9 @@
 import io.coppershelf.floor.internal.FloorAction.Refused;
 import io.coppershelf.floor.internal.FloorAction.Revoked;
 import io.coppershelf.floor.internal.FloorAction.Send;
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantReply;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -50,7 +53,7 @@
     }
 
     /** Takes in an answer. */
-    public List<FloorAction> onReply(String sender, FloorMessage.GrantReply reply, long nowNanos) {
+    public List<FloorAction> onReply(String sender, GrantReply reply, long nowNanos) {
         HeldGrant right = rights.get(new Key(reply.service(), reply.server()));
         if (right == null || !right.isAwaitedReply(reply.sequence())) {
             return List.of();
@@ -136,7 +139,7 @@
             return refuseUnlessLive(right, nowNanos);
         }
         ServiceRules known = rules.get(right.service());
-        FloorMessage.GrantRequest request = new FloorMessage.GrantRequest(
+        GrantRequest request = new GrantRequest(
                 right.service(),
                 right.server(),
                 right.sequence(),
@@ -182,8 +185,7 @@
     }
 
     private List<FloorAction> releaseActions(HeldGrant right, VoterSet voters) {
-        FloorMessage.GrantRelease release =
-                new FloorMessage.GrantRelease(right.service(), right.server(), right.sequence());
+        GrantRelease release = new GrantRelease(right.service(), right.server(), right.sequence());
         return candidates(right.service(), voters).stream()
                 .<FloorAction>map(target -> new Send(target, release))
                 .toList();
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantTable.java
@@ -1,5 +1,7 @@
 package io.coppershelf.floor.internal;
 
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -31,8 +33,7 @@
      * @param allowance the number of servers that may be out of service
      * @return whether it fits
      */
-    public boolean tryGrant(
-            String holder, FloorMessage.GrantRequest request, Set<String> draining, int allowance, long nowNanos) {
+    public boolean tryGrant(String holder, GrantRequest request, Set<String> draining, int allowance, long nowNanos) {
         Set<String> out = outOfService(draining, nowNanos);
         out.add(request.server());
         if (out.size() > allowance) {
@@ -47,7 +48,7 @@
     }
 
     /** Stops counting a right that its holder gave back, unless the holder has asked again since. */
-    public void release(String holder, FloorMessage.GrantRelease release) {
+    public void release(String holder, GrantRelease release) {
         grants.computeIfPresent(
                 new Grant(release.server(), holder),
                 (grant, entry) -> entry.sequence() <= release.sequence() ? null : entry);
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
@@ -1,5 +1,9 @@
 package io.coppershelf.floor.internal;
 
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantResult;
+import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import java.util.List;
 
 /** One VM as granter, or as one that may become it, of the rights of one service. */
@@ -20,31 +24,30 @@
      * that it was counted for may have come so late that the right had lapsed and the former granter had given it to
      * another holder.
      */
-    public FloorMessage.GrantResult decide(
-            String holder, FloorMessage.GrantRequest request, ServiceRules rules, long nowNanos) {
+    public GrantResult decide(String holder, GrantRequest request, ServiceRules rules, long nowNanos) {
         if (!lease.isHeld(nowNanos)) {
-            return FloorMessage.GrantResult.NOT_GRANTER;
+            return GrantResult.NOT_GRANTER;
         }
         if (request.ticket() > rules.ticket()) {
-            return FloorMessage.GrantResult.REFUSED;
+            return GrantResult.REFUSED;
         }
         if (lease.isTakingOver(nowNanos) && !request.live()) {
-            return FloorMessage.GrantResult.REFUSED;
+            return GrantResult.REFUSED;
         }
         int allowance = request.ticket() == rules.ticket()
                 ? Math.min(request.allowance(), rules.allowance())
                 : rules.allowance();
         boolean fits = ledger.tryGrant(holder, request, rules.draining(), allowance, nowNanos);
-        return fits ? FloorMessage.GrantResult.GRANTED : FloorMessage.GrantResult.REFUSED;
+        return fits ? GrantResult.GRANTED : GrantResult.REFUSED;
     }
 
     /** Stops counting a right that its holder gave back. */
-    public void onRelease(String holder, FloorMessage.GrantRelease release) {
+    public void onRelease(String holder, GrantRelease release) {
         ledger.release(holder, release);
     }
 
     /** Takes in a report of servers that are out of service. */
-    public void onReport(String sender, FloorMessage.OutOfServiceReport report, long nowNanos) {
+    public void onReport(String sender, OutOfServiceReport report, long nowNanos) {
         ledger.recordReport(sender, report.servers(), nowNanos);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/OutOfServiceReports.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/OutOfServiceReports.java
@@ -1,6 +1,7 @@
 package io.coppershelf.floor.internal;
 
 import io.coppershelf.floor.internal.FloorAction.Send;
+import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -40,7 +41,7 @@
     }
 
     private static List<FloorAction> report(String service, Set<String> servers, VoterSet voters) {
-        FloorMessage.OutOfServiceReport report = new FloorMessage.OutOfServiceReport(service, List.copyOf(servers));
+        OutOfServiceReport report = new OutOfServiceReport(service, List.copyOf(servers));
         return voters.ids().stream()
                 .<FloorAction>map(target -> new Send(target, report))
                 .toList();
--- a/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
@@ -105,18 +105,18 @@
     }
 
     /** Takes in that a try was sent to a server. */
-    public void dispatched(String tryId, String server, String route, boolean idempotent, long nowNanos) {
-        MonitoredAttempt watched = new MonitoredAttempt(tryId, route, idempotent, nowNanos, clock.observedNanos());
+    public void dispatched(String attemptId, String server, String route, boolean idempotent, long nowNanos) {
+        MonitoredAttempt watched = new MonitoredAttempt(attemptId, route, idempotent, nowNanos, clock.observedNanos());
         find(server).ifPresent(health -> health.dispatched(watched, nowNanos));
     }
 
     /** Takes in how a try ended and what the server said of itself. */
-    public void ended(String tryId, String server, AttemptEnd end, ServerState state, long nowNanos) {
+    public void ended(String attemptId, String server, AttemptEnd end, ServerState state, long nowNanos) {
         Optional<ServerHealth> health = find(server);
         if (health.isEmpty()) {
             return;
         }
-        Optional<MonitoredAttempt> watched = health.get().evidence().ended(tryId);
+        Optional<MonitoredAttempt> watched = health.get().evidence().ended(attemptId);
         hearOfPath(server, health.get(), end, state, nowNanos);
         hear(server, health.get(), state, nowNanos);
         watched.filter(known -> isTelling(known, health.get(), nowNanos))
--- a/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
@@ -17,7 +17,7 @@
     void queryReachability(String server);
 
     /** Cancel a try that runs on the server. */
-    void cancel(String tryId, String server);
+    void cancel(String attemptId, String server);
 
     /** Tell the other owners of the service the usual service times, per route in nanoseconds. */
     void shareServiceTimes(Map<String, Long> usualNanos);
--- a/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimate.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimate.java
@@ -6,11 +6,11 @@
  * The probability that a server is sick, by a hidden Markov model with two states: well servers turn sick and sick ones
  * recover at constant rates, and each observation weighs by its likelihood in either state. Immutable.
  *
- * @param sickness the probability at the time of the last observation, between 0 and 1
+ * @param unhealthyProbability the probability at the time of the last observation, between 0 and 1
  * @param atNanos the monotonic time of the last observation
  * @param failedNanos the monotonic time of the last bad observation, {@link Long#MIN_VALUE} before the first
  */
-public record HealthEstimate(double sickness, long atNanos, long failedNanos) {
+public record HealthEstimate(double unhealthyProbability, long atNanos, long failedNanos) {
     /** Mean time that a server stays sick, in seconds; gray failures of the workloads last several seconds. */
     static final double MEAN_SICK_SECONDS = 10;
     /** Mean time that a server stays well, in seconds; at any time up to a quarter of the servers fail grayly. */
@@ -48,7 +48,7 @@
     /** Returns the probability at a time; without observations it returns to the base. */
     public double unhealthyProbabilityAt(long nowNanos) {
         double seconds = secondsSince(atNanos, nowNanos);
-        return BASE_SICKNESS + (sickness - BASE_SICKNESS) * Math.exp(-RELAXATION_PER_SECOND * seconds);
+        return BASE_SICKNESS + (unhealthyProbability - BASE_SICKNESS) * Math.exp(-RELAXATION_PER_SECOND * seconds);
     }
 
     /** Returns whether a good observation is worth telling others at a time. */
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/MonitoredAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/MonitoredAttempt.java
@@ -2,7 +2,7 @@
 
 /** A try in flight as the health of its server sees it. */
 public final class MonitoredAttempt {
-    private final String tryId;
+    private final String attemptId;
     private final String route;
     private final boolean idempotent;
     private final long dispatchedNanos;
@@ -12,8 +12,8 @@
     private boolean ignored;
 
     /** Returns a try that was dispatched at the given monotonic and observed times. */
-    public MonitoredAttempt(String tryId, String route, boolean idempotent, long nowNanos, long observedNanos) {
-        this.tryId = tryId;
+    public MonitoredAttempt(String attemptId, String route, boolean idempotent, long nowNanos, long observedNanos) {
+        this.attemptId = attemptId;
         this.route = route;
         this.idempotent = idempotent;
         this.dispatchedNanos = nowNanos;
@@ -22,7 +22,7 @@
 
     /** Returns the id of the try. */
     public String attemptId() {
-        return tryId;
+        return attemptId;
     }
 
     /** Returns the request kind. */
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
@@ -19,8 +19,8 @@
     }
 
     /** Takes in that a try ended, and returns it. */
-    public Optional<MonitoredAttempt> ended(String tryId) {
-        return Optional.ofNullable(inFlight.remove(tryId));
+    public Optional<MonitoredAttempt> ended(String attemptId) {
+        return Optional.ofNullable(inFlight.remove(attemptId));
     }
 
     /** Takes in an answer: the tries of its kind that were dispatched before it have been overtaken. */
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberTable.java
@@ -1,6 +1,7 @@
 package io.coppershelf.membership.internal;
 
 import io.coppershelf.membership.Vm;
+import io.coppershelf.membership.internal.MembershipEvent.ListReceived;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -214,7 +215,7 @@
      *
      * @return what to tell
      */
-    List<String> applyList(MembershipEvent.ListReceived fresher, long nowNanos) {
+    List<String> applyList(ListReceived fresher, long nowNanos) {
         List<String> told = new ArrayList<>();
         if (fresher.revision() <= listRevision) {
             return told;
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
@@ -1,14 +1,22 @@
 package io.coppershelf.membership.internal;
 
 import io.coppershelf.membership.Vm;
+import io.coppershelf.membership.internal.MembershipAction.IndirectProbe;
 import io.coppershelf.membership.internal.MembershipAction.Join;
 import io.coppershelf.membership.internal.MembershipAction.Probe;
 import io.coppershelf.membership.internal.MembershipAction.Publish;
 import io.coppershelf.membership.internal.MembershipAction.Pull;
+import io.coppershelf.membership.internal.MembershipAction.RecordChange;
+import io.coppershelf.membership.internal.MembershipAction.SendLeave;
+import io.coppershelf.membership.internal.MembershipEvent.IndirectProbeEnded;
 import io.coppershelf.membership.internal.MembershipEvent.Introduced;
+import io.coppershelf.membership.internal.MembershipEvent.LeaveReceived;
+import io.coppershelf.membership.internal.MembershipEvent.LeaveStarted;
+import io.coppershelf.membership.internal.MembershipEvent.ListReceived;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
+import io.coppershelf.membership.internal.MembershipEvent.UpdatesReceived;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -144,17 +152,17 @@
             answered(answered, nowNanos, actions);
         } else if (event instanceof ProbeFailed failed) {
             failed(failed, nowNanos, actions);
-        } else if (event instanceof MembershipEvent.IndirectProbeEnded verdict) {
+        } else if (event instanceof IndirectProbeEnded verdict) {
             verdictHeard(verdict, nowNanos, actions);
-        } else if (event instanceof MembershipEvent.UpdatesReceived heard) {
+        } else if (event instanceof UpdatesReceived heard) {
             heard.updates().forEach(update -> merge(update, nowNanos, actions));
         } else if (event instanceof Introduced introduced) {
             introduced(introduced.sender(), actions);
-        } else if (event instanceof MembershipEvent.ListReceived listed) {
+        } else if (event instanceof ListReceived listed) {
             listed(listed, nowNanos, actions);
-        } else if (event instanceof MembershipEvent.LeaveReceived leave) {
+        } else if (event instanceof LeaveReceived leave) {
             leaveHeard(leave, actions);
-        } else if (event instanceof MembershipEvent.LeaveStarted) {
+        } else if (event instanceof LeaveStarted) {
             leaveBegun(actions);
         }
     }
@@ -189,8 +197,7 @@
     private void afterPause(long nowNanos, List<MembershipAction> actions) {
         judgesFromNanos = nowNanos + JUDGEMENT_DELAY_NANOS;
         accusations.clearAll();
-        actions.add(new MembershipAction.RecordChange(
-                "This VM was paused for " + (nowNanos - lastTickNanos) / 1_000_000 + " ms."));
+        actions.add(new RecordChange("This VM was paused for " + (nowNanos - lastTickNanos) / 1_000_000 + " ms."));
     }
 
     private void confirmSuspects(long nowNanos, List<MembershipAction> actions) {
@@ -244,12 +251,10 @@
         accusations.begin(event.target(), self.vm().id());
         List<Vm> witnesses = table.answeringOthers(event.target().id());
         Collections.shuffle(witnesses, random);
-        witnesses.stream()
-                .limit(WITNESSES)
-                .forEach(witness -> actions.add(new MembershipAction.IndirectProbe(witness, event.target())));
+        witnesses.stream().limit(WITNESSES).forEach(witness -> actions.add(new IndirectProbe(witness, event.target())));
     }
 
-    private void verdictHeard(MembershipEvent.IndirectProbeEnded event, long nowNanos, List<MembershipAction> actions) {
+    private void verdictHeard(IndirectProbeEnded event, long nowNanos, List<MembershipAction> actions) {
         if (event.isReached()) {
             accusations.clear(event.target().id());
             return;
@@ -277,8 +282,8 @@
         }
     }
 
-    private void listed(MembershipEvent.ListReceived event, long nowNanos, List<MembershipAction> actions) {
-        table.applyList(event, nowNanos).forEach(text -> actions.add(new MembershipAction.RecordChange(text)));
+    private void listed(ListReceived event, long nowNanos, List<MembershipAction> actions) {
+        table.applyList(event, nowNanos).forEach(text -> actions.add(new RecordChange(text)));
         event.vms().stream()
                 .filter(vm -> vm.id().equals(self.vm().id()) && vm.leaving() && isThisIncarnation(vm))
                 .findAny()
@@ -289,13 +294,13 @@
         return vm.incarnation() == self.vm().incarnation();
     }
 
-    private void leaveHeard(MembershipEvent.LeaveReceived event, List<MembershipAction> actions) {
+    private void leaveHeard(LeaveReceived event, List<MembershipAction> actions) {
         table.member(event.id())
                 .filter(member -> member.update().vm().incarnation() == event.incarnation())
                 .flatMap(table::markLeaving)
                 .ifPresent(text -> {
                     gossip.add(table.require(event.id()).update());
-                    actions.add(new MembershipAction.RecordChange(text));
+                    actions.add(new RecordChange(text));
                 });
     }
 
@@ -304,7 +309,7 @@
         gossip.add(self);
         List<Vm> told = table.liveVms();
         Collections.shuffle(told, random);
-        told.stream().limit(TOLD_OF_LEAVING).forEach(vm -> actions.add(new MembershipAction.SendLeave(vm)));
+        told.stream().limit(TOLD_OF_LEAVING).forEach(vm -> actions.add(new SendLeave(vm)));
     }
 
     private void merge(MemberUpdate update, long nowNanos, List<MembershipAction> actions) {
@@ -315,7 +320,7 @@
         table.merge(update, nowNanos).ifPresent(text -> {
             gossip.add(table.require(update.vm().id()).update());
             if (!text.isEmpty()) {
-                actions.add(new MembershipAction.RecordChange(text));
+                actions.add(new RecordChange(text));
             }
         });
     }
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
@@ -5,10 +5,13 @@
 import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
+import io.coppershelf.membership.internal.MembershipEvent.IndirectProbeEnded;
 import io.coppershelf.membership.internal.MembershipEvent.Introduced;
+import io.coppershelf.membership.internal.MembershipEvent.LeaveReceived;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
+import io.coppershelf.membership.internal.MembershipEvent.UpdatesReceived;
 import io.coppershelf.membership.internal.MembershipMessages.JoinRequest;
 import io.coppershelf.membership.internal.MembershipMessages.LeaveMessage;
 import io.coppershelf.membership.internal.MembershipMessages.ListReply;
@@ -16,6 +19,7 @@
 import io.coppershelf.membership.internal.MembershipMessages.Ping;
 import io.coppershelf.membership.internal.MembershipMessages.PingReply;
 import io.coppershelf.membership.internal.MembershipMessages.ProbeRequest;
+import io.coppershelf.membership.internal.MembershipMessages.ProbeResult;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.peer.PeerExchange.Replies;
@@ -74,7 +78,7 @@
         exchange.register(MembershipMessages.PROBE_REQUEST, this::probeRequested);
         exchange.register(
                 MembershipMessages.LEAVE,
-                (sender, leave, replies) -> post(new MembershipEvent.LeaveReceived(sender, leave.incarnation())));
+                (sender, leave, replies) -> post(new LeaveReceived(sender, leave.incarnation())));
         control.every(Duration.ofMillis(MembershipDecisions.TICK_MILLIS), () -> on(new Tick()));
     }
 
@@ -139,10 +143,8 @@
         long began = time.nanos();
         Vm target = through.target();
         request(through.witness(), new ProbeRequest(target), VERDICT_TIMEOUT, reply -> {
-            if (reply instanceof PeerReply.Received received
-                    && received.message() instanceof MembershipMessages.ProbeResult verdict) {
-                on(new MembershipEvent.IndirectProbeEnded(
-                        target, through.witness().id(), verdict.isReached(), began));
+            if (reply instanceof PeerReply.Received received && received.message() instanceof ProbeResult verdict) {
+                on(new IndirectProbeEnded(target, through.witness().id(), verdict.isReached(), began));
             }
         });
     }
@@ -204,7 +206,7 @@
     private void heard(MemberUpdate sender, List<MemberUpdate> updates) {
         boolean isLive = decisions.isLive(sender.vm());
         if (isLive) {
-            on(new MembershipEvent.UpdatesReceived(sender.vm().id(), updates));
+            on(new UpdatesReceived(sender.vm().id(), updates));
         }
         on(new Introduced(sender));
     }
@@ -225,8 +227,8 @@
                 target,
                 ping,
                 PROBE_TIMEOUT,
-                reply -> replies.reply(new MembershipMessages.ProbeResult(
-                        reply instanceof PeerReply.Received received && answered(received.message()))));
+                reply -> replies.reply(
+                        new ProbeResult(reply instanceof PeerReply.Received received && answered(received.message()))));
     }
 
     private static boolean isAbout(String sender, MemberUpdate update) {
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipMessages.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipMessages.java
@@ -39,11 +39,11 @@
             (request, packer) -> VmFields.write(packer, request.target()),
             unpacker -> new ProbeRequest(VmFields.read(unpacker)));
 
-    static final PeerMessageCodec<MembershipMessages.ProbeResult> PROBE_VERDICT = new FunctionCodec<>(
+    static final PeerMessageCodec<ProbeResult> PROBE_VERDICT = new FunctionCodec<>(
             5,
-            MembershipMessages.ProbeResult.class,
+            ProbeResult.class,
             (verdict, packer) -> packer.packBoolean(verdict.isReached()),
-            unpacker -> new MembershipMessages.ProbeResult(unpacker.unpackBoolean()));
+            unpacker -> new ProbeResult(unpacker.unpackBoolean()));
 
     static final PeerMessageCodec<JoinRequest> JOIN_REQUEST = new FunctionCodec<>(
             6,
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
@@ -56,13 +56,13 @@
          *
          * @param before the list that the change was applied to
          */
-        static MeshMessage.CatalogUpdate of(ServerList before, CatalogChange change, long configurationRevision) {
+        static CatalogUpdate of(ServerList before, CatalogChange change, long configurationRevision) {
             List<BackendServer> changed = change.changed().stream()
                     .filter(server -> before.server(server.id())
                             .filter(known -> known.isSameForRouting(server))
                             .isEmpty())
                     .toList();
-            return new MeshMessage.CatalogUpdate(
+            return new CatalogUpdate(
                     change.since(),
                     change.revision(),
                     configurationRevision,
--- a/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotCodec.java
@@ -109,7 +109,7 @@
         writeDuration(packer, route.objective());
         packer.packInt(route.rank());
         packer.packInt(route.maxServers());
-        MessageFields.writeList(packer, route.parts(), (p, part) -> {
+        MessageFields.writeList(packer, route.weightedServices(), (p, part) -> {
             p.packString(part.service());
             p.packDouble(part.weight());
         });
--- a/coppershelf/src/main/java/io/coppershelf/operator/TimelineDocument.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/TimelineDocument.java
@@ -43,7 +43,7 @@
                         Instant.ofEpochMilli(HybridClock.millis(stamped.stamp()))
                                 .toString())
                 .put("vm", stamped.vm())
-                .put("part", event.part())
+                .put("part", event.component())
                 .put("text", event.text());
         event.service().ifPresent(name -> node.put("service", name));
         event.server().ifPresent(name -> node.put("server", name));
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/TimelineBuffer.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/TimelineBuffer.java
@@ -66,6 +66,6 @@
             return event;
         }
         String text = event.text().substring(0, LONGEST_TEXT);
-        return new Event(event.part(), text, event.service(), event.server(), event.request(), event.ticket());
+        return new Event(event.component(), text, event.service(), event.server(), event.request(), event.ticket());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
@@ -23,7 +23,7 @@
     private static final int QUEUE_LIMIT_FRAMES = 4096;
 
     private final SelectorLoop loop;
-    private final Connection.Listener events;
+    private final Listener events;
     private final Optional<Vm> target;
     private final FrameReader reader = new FrameReader();
     private final FrameWriter writer = new FrameWriter();
@@ -38,20 +38,19 @@
     private volatile long usedNanos = openedNanos;
     private boolean isRetired;
 
-    private Connection(SelectorLoop loop, Connection.Listener events, Optional<Vm> target) {
+    private Connection(SelectorLoop loop, Listener events, Optional<Vm> target) {
         this.loop = loop;
         this.events = events;
         this.target = target;
     }
 
     /** Returns a connection to be opened by this VM; {@link #connect} opens it. */
-    static Connection outgoing(SelectorLoop loop, Connection.Listener events, Vm target) {
+    static Connection outgoing(SelectorLoop loop, Listener events, Vm target) {
         return new Connection(loop, events, Optional.of(target));
     }
 
     /** Returns a connection that a peer opened. */
-    static Connection incoming(SelectorLoop loop, Connection.Listener events, SocketChannel channel)
-            throws IOException {
+    static Connection incoming(SelectorLoop loop, Listener events, SocketChannel channel) throws IOException {
         Connection connection = new Connection(loop, events, Optional.empty());
         connection.channel = Optional.of(channel);
         configure(channel);
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
@@ -102,7 +102,7 @@
     }
 
     private static void handle(SelectionKey key) {
-        SelectorLoop.ChannelHandler ready = (SelectorLoop.ChannelHandler) key.attachment();
+        ChannelHandler ready = (ChannelHandler) key.attachment();
         try {
             ready.onReady(key);
         } catch (IOException | CancelledKeyException e) {
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/PlatformAnswers.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/PlatformAnswers.java
@@ -31,7 +31,7 @@
         for (JsonNode document : array(answer, "tickets")) {
             check(document.isTextual(), "a ticket is not a string");
             check(
-                    document.textValue().length() <= TicketDocument.LARGEST_DOCUMENT_BYTES,
+                    document.textValue().length() <= TicketDocument.MAX_DOCUMENT_BYTES,
                     "a ticket is larger than one megabyte");
             documents.add(document.textValue());
         }
--- a/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
@@ -272,7 +272,7 @@
                                 "end", end.name(),
                                 "detail", detail,
                                 "tookMs", TimeUnit.NANOSECONDS.toMillis(attempt.ageNanos()),
-                                "sicknessThen", inputs.sickness(),
+                                "sicknessThen", inputs.unhealthyProbability(),
                                 "observedMsBefore", inputs.observationAge().toMillis(),
                                 "busyThen", inputs.busy(),
                                 "serversRevision", catalog.servers().revision()));
--- a/coppershelf/src/main/java/io/coppershelf/proxy/TrafficServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/TrafficServer.java
@@ -155,7 +155,7 @@
             callers.add(channel);
             CallerConnection connection = new CallerConnection(context, limits);
             channel.pipeline()
-                    .addLast(new TrafficServer.ByteArrivalHandler(connection))
+                    .addLast(new ByteArrivalHandler(connection))
                     .addLast(new HttpServerCodec(limits.headBytes(), limits.headBytes(), MAX_CHUNK_BYTES))
                     .addLast(connection);
         }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
@@ -7,6 +7,9 @@
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.RequestResult;
 import io.coppershelf.routing.internal.RequestAction.AnswerCaller;
+import io.coppershelf.routing.internal.RequestAction.CancelAttempt;
+import io.coppershelf.routing.internal.RequestAction.RecordOutcome;
+import io.coppershelf.routing.internal.RequestAction.SendAttempt;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -28,7 +31,7 @@
 
     private final boolean isIdempotent;
     private final AttemptPolicy policy;
-    private final Map<Integer, RequestAction.SendAttempt> open = new TreeMap<>();
+    private final Map<Integer, SendAttempt> open = new TreeMap<>();
     private final Set<GroupName> excluded = new HashSet<>();
     private int hops;
     private int tries;
@@ -79,13 +82,13 @@
 
     private void send(GroupName group, int candidate, boolean hedge, List<RequestAction> actions) {
         hops++;
-        RequestAction.SendAttempt action = new RequestAction.SendAttempt(hops, group, candidate, hedge);
+        SendAttempt action = new SendAttempt(hops, group, candidate, hedge);
         open.put(hops, action);
         actions.add(action);
     }
 
     private void end(RequestEvent.AttemptEnded ended, List<RequestAction> actions) {
-        RequestAction.SendAttempt done = open.remove(ended.number());
+        SendAttempt done = open.remove(ended.number());
         if (done == null) {
             return;
         }
@@ -105,7 +108,7 @@
 
     private void succeed(Answer answer, List<RequestAction> actions) {
         answerCaller(RequestResult.answered(answer), actions);
-        open.keySet().forEach(number -> actions.add(new RequestAction.CancelAttempt(number)));
+        open.keySet().forEach(number -> actions.add(new CancelAttempt(number)));
         settle(Outcome.RUN, Optional.of(answer), actions);
     }
 
@@ -118,7 +121,7 @@
     }
 
     /** Sends a further try where that is safe and sensible; returns whether it did. */
-    private boolean sendNext(RequestAction.SendAttempt done, ErrorKind error, List<RequestAction> actions) {
+    private boolean sendNext(SendAttempt done, ErrorKind error, List<RequestAction> actions) {
         if (hops >= MOST_HOPS) {
             return false;
         }
@@ -144,7 +147,7 @@
         };
     }
 
-    private boolean sendToOtherOwner(RequestAction.SendAttempt done, List<RequestAction> actions) {
+    private boolean sendToOtherOwner(SendAttempt done, List<RequestAction> actions) {
         int next = done.candidate() + 1;
         if (next < policy.ownerCount(done.group())) {
             send(done.group(), next, done.hedge(), actions);
@@ -156,7 +159,7 @@
         return other.isPresent();
     }
 
-    private boolean retry(RequestAction.SendAttempt done, ErrorKind error, List<RequestAction> actions) {
+    private boolean retry(SendAttempt done, ErrorKind error, List<RequestAction> actions) {
         excluded.add(done.group());
         Optional<GroupName> other = policy.selectGroup(excluded);
         boolean isSameGroupUseful = error != ErrorKind.OVERLOADED;
@@ -177,7 +180,7 @@
         if (!isIdempotent || isAnswered || isGivenUp || open.size() != 1 || tries + 1 >= MOST_TRIES) {
             return;
         }
-        RequestAction.SendAttempt first = open.values().iterator().next();
+        SendAttempt first = open.values().iterator().next();
         Set<GroupName> busy = new HashSet<>(excluded);
         busy.add(first.group());
         if (!policy.spendRetry()) {
@@ -189,7 +192,7 @@
 
     private void giveUp(List<RequestAction> actions) {
         isGivenUp = true;
-        open.keySet().forEach(number -> actions.add(new RequestAction.CancelAttempt(number)));
+        open.keySet().forEach(number -> actions.add(new CancelAttempt(number)));
     }
 
     private void passDeadline(List<RequestAction> actions) {
@@ -228,6 +231,6 @@
             return;
         }
         isSettled = true;
-        actions.add(new RequestAction.RecordOutcome(outcome, answer));
+        actions.add(new RecordOutcome(outcome, answer));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedPipeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedPipeline.java
@@ -7,6 +7,7 @@
 import io.coppershelf.routing.InboundRequest;
 import io.coppershelf.routing.RequestPipeline;
 import io.coppershelf.routing.RequestResult;
+import io.coppershelf.routing.internal.RoutedRequest.RoutingContext;
 import io.coppershelf.ticket.RouteSpec;
 import java.time.Duration;
 import java.util.OptionalLong;
@@ -18,7 +19,7 @@
 final class RoutedPipeline implements RequestPipeline {
     private static final Duration SHORTEST_HEDGE_DELAY = Duration.ofMillis(5);
 
-    private final RoutedRequest.RoutingContext context;
+    private final RoutingContext context;
     private final AttemptPolicies policies;
     private final Claims claims;
     private final Timeline timeline;
@@ -26,11 +27,7 @@
     private final ConcurrentMap<String, LatencyPercentile> latencies = new ConcurrentHashMap<>();
 
     RoutedPipeline(
-            RoutedRequest.RoutingContext context,
-            AttemptPolicies policies,
-            Claims claims,
-            Timeline timeline,
-            RequestTimers timers) {
+            RoutingContext context, AttemptPolicies policies, Claims claims, Timeline timeline, RequestTimers timers) {
         this.context = context;
         this.policies = policies;
         this.claims = claims;
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
@@ -3,6 +3,7 @@
 import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.AttemptSender;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.OwnerLookup;
 import io.coppershelf.component.TimeSource;
@@ -22,16 +23,16 @@
 final class RoutedRequest {
     private final InboundRequest request;
     private final RequestDecisions decisions;
-    private final RoutedRequest.RoutingContext context;
+    private final RoutingContext context;
     private final Consumer<RequestAction.RecordOutcome> onSettled;
     private final CompletableFuture<RequestResult> result = new CompletableFuture<>();
-    private final ConcurrentMap<Integer, AttemptSender.AttemptExchange> exchanges = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Integer, AttemptExchange> exchanges = new ConcurrentHashMap<>();
     private final Set<Integer> cancelled = ConcurrentHashMap.newKeySet();
 
     RoutedRequest(
             InboundRequest request,
             RequestDecisions decisions,
-            RoutedRequest.RoutingContext context,
+            RoutingContext context,
             Consumer<RequestAction.RecordOutcome> onSettled) {
         this.request = request;
         this.decisions = decisions;
@@ -75,7 +76,7 @@
             on(new RequestEvent.AttemptEnded(send.number(), AttemptResult.failed(ErrorKind.OWNER_UNREACHABLE)));
             return;
         }
-        AttemptSender.AttemptExchange exchange = context.owners().send(owners.get(send.candidate()), tryRequest(send));
+        AttemptExchange exchange = context.owners().send(owners.get(send.candidate()), tryRequest(send));
         exchanges.put(send.number(), exchange);
         if (cancelled.contains(send.number())) {
             exchange.cancel();
@@ -91,7 +92,7 @@
 
     private void cancel(int number) {
         cancelled.add(number);
-        AttemptSender.AttemptExchange exchange = exchanges.get(number);
+        AttemptExchange exchange = exchanges.get(number);
         if (exchange != null) {
             exchange.cancel();
         }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
@@ -10,6 +10,7 @@
 import io.coppershelf.routing.InboundRequest;
 import io.coppershelf.routing.RequestPipeline;
 import io.coppershelf.routing.RequestResult;
+import io.coppershelf.routing.internal.RoutedRequest.RoutingContext;
 import io.coppershelf.settings.Settings;
 import io.coppershelf.ticket.Configuration;
 import java.util.Random;
@@ -33,7 +34,7 @@
                 loads,
                 new GroupSelector(settings.dataCentre(), random));
         pipeline = new RoutedPipeline(
-                new RoutedRequest.RoutingContext(registry.require(AttemptSender.NAME), lookup, loads, time),
+                new RoutingContext(registry.require(AttemptSender.NAME), lookup, loads, time),
                 policies,
                 registry.require(Claims.NAME),
                 registry.require(Timeline.NAME),
--- a/coppershelf/src/main/java/io/coppershelf/ticket/TicketDocument.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/TicketDocument.java
@@ -21,7 +21,7 @@
  */
 public final class TicketDocument {
     /** The largest document, in bytes of UTF-8. */
-    public static final int LARGEST_DOCUMENT_BYTES = 1_048_576;
+    public static final int MAX_DOCUMENT_BYTES = 1_048_576;
 
     private static final DocumentSchema SCHEMA = DocumentSchema.load(TicketDocument.class, "ticket.schema.json");
 
@@ -48,8 +48,8 @@
 
     private static void checkSize(String text, Problems problems) {
         int size = text.getBytes(StandardCharsets.UTF_8).length;
-        if (size > LARGEST_DOCUMENT_BYTES) {
-            problems.add("", "must be at most " + LARGEST_DOCUMENT_BYTES + " bytes, but has " + size);
+        if (size > MAX_DOCUMENT_BYTES) {
+            problems.add("", "must be at most " + MAX_DOCUMENT_BYTES + " bytes, but has " + size);
         }
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RepairSession.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RepairSession.java
@@ -1,6 +1,8 @@
 package io.coppershelf.ticket.internal.spread;
 
 import io.coppershelf.membership.Vm;
+import io.coppershelf.ticket.internal.spread.SpreadAction.RequestBuckets;
+import io.coppershelf.ticket.internal.spread.SpreadAction.RequestVersions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -36,14 +38,12 @@
     }
 
     /** Returns the first question, empty if no group differs. */
-    Optional<SpreadAction.RequestBuckets> start(List<Integer> differingGroups) {
-        return differingGroups.isEmpty()
-                ? Optional.empty()
-                : Optional.of(new SpreadAction.RequestBuckets(peer, differingGroups));
+    Optional<RequestBuckets> start(List<Integer> differingGroups) {
+        return differingGroups.isEmpty() ? Optional.empty() : Optional.of(new RequestBuckets(peer, differingGroups));
     }
 
     /** Takes the digests of the peer's buckets and returns the next question, empty if there is none. */
-    Optional<SpreadAction.RequestVersions> compare(long[] mine, Map<Integer, Long> theirs) {
+    Optional<RequestVersions> compare(long[] mine, Map<Integer, Long> theirs) {
         theirs.forEach((bucket, digest) -> {
             if (bucket >= 0 && bucket < mine.length && mine[bucket] != digest) {
                 buckets.addLast(bucket);
@@ -53,11 +53,11 @@
     }
 
     /** Returns the next question, empty if all differing buckets are done. */
-    Optional<SpreadAction.RequestVersions> next() {
+    Optional<RequestVersions> next() {
         List<Integer> chosen = new ArrayList<>();
         while (chosen.size() < BUCKETS_PER_REQUEST && !buckets.isEmpty()) {
             chosen.add(buckets.pollFirst());
         }
-        return chosen.isEmpty() ? Optional.empty() : Optional.of(new SpreadAction.RequestVersions(peer, chosen));
+        return chosen.isEmpty() ? Optional.empty() : Optional.of(new RequestVersions(peer, chosen));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
@@ -12,13 +12,22 @@
 import io.coppershelf.ticket.internal.spread.SpreadAction.Publish;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Pull;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Ready;
+import io.coppershelf.ticket.internal.spread.SpreadAction.RequestRepair;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnouncementAcknowledged;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnouncementFailed;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnouncementReceived;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.BucketsReceived;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.FleetChanged;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.PlatformRead;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.PlatformReadFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.PullFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Pulled;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairFailed;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairReplied;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairRequested;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Summary;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Tick;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.VersionsReceived;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -117,7 +126,7 @@
             view = changed.view();
         } else if (event instanceof PlatformRead read) {
             platformRead(read, nowNanos, actions);
-        } else if (event instanceof SpreadEvent.PlatformReadFailed) {
+        } else if (event instanceof PlatformReadFailed) {
             watch.recordFailure(nowNanos);
         } else {
             peerEvent(event, nowNanos, actions);
@@ -127,23 +136,23 @@
     }
 
     private void peerEvent(SpreadEvent event, long nowNanos, List<SpreadAction> actions) {
-        if (event instanceof SpreadEvent.AnnouncementReceived announced) {
+        if (event instanceof AnnouncementReceived announced) {
             announced(announced, actions);
-        } else if (event instanceof SpreadEvent.AnnouncementAcknowledged answered) {
+        } else if (event instanceof AnnouncementAcknowledged answered) {
             rumors.recordReply(answered.key(), answered.wasKnown());
-        } else if (event instanceof SpreadEvent.AnnouncementFailed failed) {
+        } else if (event instanceof AnnouncementFailed failed) {
             rumors.recordFailure(failed.target(), failed.key());
         } else if (event instanceof Pulled pulled) {
             pulled(pulled, nowNanos, actions);
         } else if (event instanceof PullFailed failed) {
             pullFromNext(failed.key(), actions);
-        } else if (event instanceof SpreadEvent.RepairRequested asked) {
+        } else if (event instanceof RepairRequested asked) {
             repairAsked(asked, nowNanos);
-        } else if (event instanceof SpreadEvent.RepairReplied answered) {
+        } else if (event instanceof RepairReplied answered) {
             repairAnswered(answered, nowNanos, actions);
-        } else if (event instanceof SpreadEvent.BucketsReceived answered) {
+        } else if (event instanceof BucketsReceived answered) {
             bucketsAnswered(answered, actions);
-        } else if (event instanceof SpreadEvent.VersionsReceived answered) {
+        } else if (event instanceof VersionsReceived answered) {
             versionsAnswered(answered, actions);
         } else if (event instanceof RepairFailed failed) {
             session = session.filter(present -> !present.isWith(failed.target()));
@@ -173,7 +182,7 @@
 
     private void askRepair(List<SpreadAction> actions) {
         if (repairPeer.isPresent()) {
-            actions.add(new SpreadAction.RequestRepair(repairPeer.get()));
+            actions.add(new RequestRepair(repairPeer.get()));
             repairPeer = Optional.empty();
             return;
         }
@@ -183,7 +192,7 @@
         peers.sort(Comparator.comparing(peer -> gate.isKnownIdle(peer.id())));
         peers.stream()
                 .limit(gate.isReady() ? 1 : PEERS_ASKED_AT_START)
-                .forEach(peer -> actions.add(new SpreadAction.RequestRepair(peer)));
+                .forEach(peer -> actions.add(new RequestRepair(peer)));
     }
 
     private void platformRead(PlatformRead read, long nowNanos, List<SpreadAction> actions) {
@@ -195,7 +204,7 @@
         publish(numbers, nowNanos, actions);
     }
 
-    private void announced(SpreadEvent.AnnouncementReceived event, List<SpreadAction> actions) {
+    private void announced(AnnouncementReceived event, List<SpreadAction> actions) {
         rumors.recordKnownBy(event.sender(), event.key());
         if (!recent.contains(event.key()) && pulls.begin(event.key(), event.sender())) {
             pullFrom(event.sender(), event.key(), actions);
@@ -252,7 +261,7 @@
         }
     }
 
-    private void repairAsked(SpreadEvent.RepairRequested event, long nowNanos) {
+    private void repairAsked(RepairRequested event, long nowNanos) {
         watch.recordReportedAge(event.summary().platformAgeMillis(), nowNanos);
         gate.recordPeer(event.sender(), event.summary().isReady());
         boolean isBehind = event.summary().isReady()
@@ -263,7 +272,7 @@
         }
     }
 
-    private void repairAnswered(SpreadEvent.RepairReplied event, long nowNanos, List<SpreadAction> actions) {
+    private void repairAnswered(RepairReplied event, long nowNanos, List<SpreadAction> actions) {
         Summary summary = event.summary();
         watch.recordReportedAge(summary.platformAgeMillis(), nowNanos);
         gate.recordPeer(event.sender(), summary.isReady());
@@ -286,12 +295,12 @@
         });
     }
 
-    private void bucketsAnswered(SpreadEvent.BucketsReceived event, List<SpreadAction> actions) {
+    private void bucketsAnswered(BucketsReceived event, List<SpreadAction> actions) {
         Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
         present.ifPresent(held -> proceed(held, held.compare(store.bucketDigests(), event.bucketDigests()), actions));
     }
 
-    private void versionsAnswered(SpreadEvent.VersionsReceived event, List<SpreadAction> actions) {
+    private void versionsAnswered(VersionsReceived event, List<SpreadAction> actions) {
         Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
         if (present.isEmpty()) {
             return;
--- a/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
@@ -2,6 +2,7 @@
 
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
+import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.Tick;
@@ -67,22 +68,22 @@
     }
 
     String request(String route, int weight, Duration deadline, boolean hedge) {
-        String tryId = "try-" + tries++;
-        send(new RequestArrived(tryId, route, !route.equals(CLAIM), weight, now + deadline.toNanos(), hedge));
-        return tryId;
+        String attemptId = "try-" + tries++;
+        send(new RequestArrived(attemptId, route, !route.equals(CLAIM), weight, now + deadline.toNanos(), hedge));
+        return attemptId;
     }
 
-    GroupDriver answer(String tryId) {
-        return answer(tryId, 200, ServerState.READY);
+    GroupDriver answer(String attemptId) {
+        return answer(attemptId, 200, ServerState.READY);
     }
 
-    GroupDriver answer(String tryId, int status, ServerState state) {
-        sent.remove(tryId);
-        return send(new GroupEvent.AttemptEnded(tryId, Optional.of(status), Optional.empty(), state));
+    GroupDriver answer(String attemptId, int status, ServerState state) {
+        sent.remove(attemptId);
+        return send(new AttemptEnded(attemptId, Optional.of(status), Optional.empty(), state));
     }
 
-    GroupDriver fail(String tryId, ErrorKind error, ServerState state) {
-        return send(ended(tryId, error, state));
+    GroupDriver fail(String attemptId, ErrorKind error, ServerState state) {
+        return send(ended(attemptId, error, state));
     }
 
     /** Lets the servers answer by themselves, in {@link #USUAL}. */
@@ -136,16 +137,16 @@
         }
         for (GroupAction action : wanted) {
             if (action instanceof Dispatch dispatch) {
-                sent.put(dispatch.tryId(), new Sent(dispatch.server(), now + USUAL.toNanos()));
-            } else if (action instanceof CancelOnServer cancel && sent.containsKey(cancel.tryId())) {
-                remember(group.on(ended(cancel.tryId(), ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED), now));
+                sent.put(dispatch.attemptId(), new Sent(dispatch.server(), now + USUAL.toNanos()));
+            } else if (action instanceof CancelOnServer cancel && sent.containsKey(cancel.attemptId())) {
+                remember(group.on(ended(cancel.attemptId(), ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED), now));
             }
         }
     }
 
-    private GroupEvent.AttemptEnded ended(String tryId, ErrorKind error, ServerState state) {
-        sent.remove(tryId);
-        return new GroupEvent.AttemptEnded(tryId, Optional.empty(), Optional.of(error), state);
+    private AttemptEnded ended(String attemptId, ErrorKind error, ServerState state) {
+        sent.remove(attemptId);
+        return new AttemptEnded(attemptId, Optional.empty(), Optional.of(error), state);
     }
 
     ServerStatus status(String server) {
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
@@ -10,6 +10,7 @@
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Probe;
 import io.coppershelf.admission.GroupAction.Refuse;
+import io.coppershelf.admission.GroupAction.ShareServiceTimes;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
 import io.coppershelf.admission.GroupEvent.RequestCancelled;
@@ -102,8 +103,7 @@
     @Test
     void tellsOtherOwnersTheUsualTimes() {
         driver.configure(server("a", 6, false)).serve().load(READ, Duration.ofSeconds(2));
-        assertThat(driver.all(GroupAction.ShareServiceTimes.class)).isNotEmpty();
-        assertThat(driver.all(GroupAction.ShareServiceTimes.class).get(0).usualNanos())
-                .containsKey(READ);
+        assertThat(driver.all(ShareServiceTimes.class)).isNotEmpty();
+        assertThat(driver.all(ShareServiceTimes.class).get(0).typicalNanos()).containsKey(READ);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
@@ -7,10 +7,13 @@
 
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
+import io.coppershelf.admission.GroupAction.QueryReachability;
 import io.coppershelf.admission.GroupAction.ReleaseEjection;
+import io.coppershelf.admission.GroupAction.RequestEjection;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.EjectionRevoked;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
+import io.coppershelf.admission.GroupEvent.ReachabilityReported;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.health.ServerCondition;
@@ -38,11 +41,10 @@
     void suspectsAndAsksToEjectAStalledServerBeforeAnyAnswerIsLate() {
         driver.stall("a").load(READ, SECOND);
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
-        assertThat(driver.all(GroupAction.QueryReachability.class)).contains(new GroupAction.QueryReachability("a"));
-        assertThat(driver.all(GroupAction.RequestEjection.class)).isEmpty();
+        assertThat(driver.all(QueryReachability.class)).contains(new QueryReachability("a"));
+        assertThat(driver.all(RequestEjection.class)).isEmpty();
         driver.send(new ProbeEnded("a", Optional.of(ServerState.READY))).load(READ, SECOND);
-        assertThat(driver.all(GroupAction.RequestEjection.class))
-                .containsExactly(new GroupAction.RequestEjection("a", "stalled"));
+        assertThat(driver.all(RequestEjection.class)).containsExactly(new RequestEjection("a", "stalled"));
     }
 
     @Test
@@ -82,7 +84,7 @@
     void renewsTheRightBeforeItEnds() {
         eject("a", Duration.ofSeconds(4));
         driver.pass(Duration.ofSeconds(3));
-        assertThat(driver.all(GroupAction.RequestEjection.class)).isNotEmpty();
+        assertThat(driver.all(RequestEjection.class)).isNotEmpty();
     }
 
     @Test
@@ -110,9 +112,9 @@
     void avoidsButDoesNotEjectAServerThatOnlyThisVmCannotReach() {
         driver.stall("a").load(READ, SECOND);
         driver.send(new ProbeEnded("a", Optional.empty()));
-        driver.send(new GroupEvent.ReachabilityReported("a", true));
+        driver.send(new ReachabilityReported("a", true));
         driver.load(READ, Duration.ofSeconds(4));
-        assertThat(driver.all(GroupAction.RequestEjection.class)).isEmpty();
+        assertThat(driver.all(RequestEjection.class)).isEmpty();
         assertThat(driver.all(Dispatch.class).stream().map(Dispatch::server).distinct())
                 .containsExactly("b", "c");
         assertThat(driver.status("a").reason()).isEqualTo("unreachable from this VM");
@@ -126,15 +128,15 @@
             manual.request(READ, 1, DEADLINE);
             Dispatch sent = manual.all(Dispatch.class).get(0);
             if (sent.server().equals("a")) {
-                manual.fail(sent.tryId(), ErrorKind.NO_SERVER, ServerState.UNSTATED);
+                manual.fail(sent.attemptId(), ErrorKind.NO_SERVER, ServerState.UNSTATED);
             } else {
-                manual.answer(sent.tryId());
+                manual.answer(sent.attemptId());
             }
         }
         assertThat(manual.status("a").condition()).isEqualTo(ServerCondition.SUSPECTED);
-        manual.send(new GroupEvent.ReachabilityReported("a", false));
-        assertThat(manual.all(GroupAction.RequestEjection.class))
-                .containsExactly(new GroupAction.RequestEjection("a", "unreachable from several VMs"));
+        manual.send(new ReachabilityReported("a", false));
+        assertThat(manual.all(RequestEjection.class))
+                .containsExactly(new RequestEjection("a", "unreachable from several VMs"));
     }
 
     @Test
@@ -145,7 +147,7 @@
             tries.add(driver.request(READ, 1, DEADLINE));
         }
         driver.now += Duration.ofSeconds(30).toNanos();
-        tries.forEach(tryId -> driver.fail(tryId, ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED));
+        tries.forEach(attemptId -> driver.fail(attemptId, ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED));
         driver.send(new Tick());
         assertThat(conditions()).containsExactly(ServerCondition.IN_SERVICE);
     }
@@ -154,15 +156,16 @@
     void asksToEjectNoServerWhileAllAreSuspected() {
         driver.stall("a").stall("b").stall("c").load(READ, SECOND);
         List.of("a", "b", "c").forEach(name -> driver.send(new ProbeEnded(name, Optional.of(ServerState.READY))));
-        assertThat(driver.all(GroupAction.RequestEjection.class)).isEmpty();
+        assertThat(driver.all(RequestEjection.class)).isEmpty();
         assertThat(conditions()).containsExactly(ServerCondition.SUSPECTED);
     }
 
     @Test
     void takesShedAnswersForNoEvidence() {
         for (int refusal = 0; refusal < 40; refusal++) {
-            String tryId = driver.request(READ, 1, DEADLINE);
-            driver.fail(tryId, ErrorKind.SERVER_REFUSED, ServerState.SHEDDING).pass(USUAL);
+            String attemptId = driver.request(READ, 1, DEADLINE);
+            driver.fail(attemptId, ErrorKind.SERVER_REFUSED, ServerState.SHEDDING)
+                    .pass(USUAL);
         }
         assertThat(conditions()).containsExactly(ServerCondition.IN_SERVICE);
     }
@@ -170,9 +173,9 @@
     @Test
     void suspectsAServerThatFailsOneKindOnly() {
         for (int round = 0; round < 20; round++) {
-            String tryId = driver.request(READ, 1, DEADLINE);
+            String attemptId = driver.request(READ, 1, DEADLINE);
             boolean sick = driver.all(Dispatch.class).get(0).server().equals("a");
-            driver.answer(tryId, sick ? 500 : 200, ServerState.READY);
+            driver.answer(attemptId, sick ? 500 : 200, ServerState.READY);
         }
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
         assertThat(driver.status("a").reason()).isEqualTo("errors");
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupSlotsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupSlotsTest.java
@@ -47,7 +47,7 @@
         String first = driver.request(READ, 1, SECOND);
         driver.pass(Duration.ofMillis(200)).answer(first);
         String late = driver.request(READ, 1, Duration.ofMillis(100));
-        assertThat(driver.all(Refuse.class).get(0).tryId()).isEqualTo(late);
+        assertThat(driver.all(Refuse.class).get(0).attemptId()).isEqualTo(late);
         assertThat(driver.all(Refuse.class).get(0).error()).isEqualTo(ErrorKind.OVERLOADED);
     }
 
@@ -57,7 +57,7 @@
         driver.request(CLAIM, 1, SECOND);
         String queued = driver.request(CLAIM, 1, Duration.ofMillis(400));
         driver.pass(Duration.ofMillis(400));
-        assertThat(driver.all(Refuse.class).get(0).tryId()).isEqualTo(queued);
+        assertThat(driver.all(Refuse.class).get(0).attemptId()).isEqualTo(queued);
         assertThat(driver.all(Refuse.class).get(0).error().outcome()).isEqualTo(Outcome.NOT_RUN);
         assertThat(driver.all(Dispatch.class)).isEmpty();
     }
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionPartsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionPartsTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.coppershelf.admission.GroupEvent;
+import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.health.AttemptEnd;
@@ -78,8 +78,7 @@
         ", ANSWER_TOO_LARGE, UNSTATED, NEUTRAL"
     })
     void knowsWhatTheEndOfATrySaysOfItsServer(Integer status, ErrorKind error, ServerState state, AttemptEnd end) {
-        GroupEvent.AttemptEnded ended =
-                new GroupEvent.AttemptEnded("try", Optional.ofNullable(status), Optional.ofNullable(error), state);
+        AttemptEnded ended = new AttemptEnded("try", Optional.ofNullable(status), Optional.ofNullable(error), state);
         assertThat(AttemptEndClassifier.classify(ended)).isEqualTo(end);
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
@@ -76,12 +76,17 @@
         assertThat(admission.admits(request("urgent", 10, 90), estimate, 0)).isFalse();
     }
 
-    private static QueuedAttempt waiting(String tryId, int weight, int deadlineMillis) {
-        return new QueuedAttempt(request(tryId, weight, deadlineMillis), SERVICE);
+    private static QueuedAttempt waiting(String attemptId, int weight, int deadlineMillis) {
+        return new QueuedAttempt(request(attemptId, weight, deadlineMillis), SERVICE);
     }
 
-    private static RequestArrived request(String tryId, int weight, int deadlineMillis) {
+    private static RequestArrived request(String attemptId, int weight, int deadlineMillis) {
         return new RequestArrived(
-                tryId, tryId, true, weight, Duration.ofMillis(deadlineMillis).toNanos(), false);
+                attemptId,
+                attemptId,
+                true,
+                weight,
+                Duration.ofMillis(deadlineMillis).toNanos(),
+                false);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/runtime/ForwardTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/runtime/ForwardTest.java
@@ -6,6 +6,7 @@
 import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.AttemptResult.GroupLoad;
 import io.coppershelf.admission.AttemptSender;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.OwnerLookup;
 import io.coppershelf.admission.ServerGroup;
@@ -71,9 +72,9 @@
         owners = new PeerAttemptSender(FakeComponents.SELF.id(), groups, peers, time);
     }
 
-    private AttemptRequest request(String tryId, GroupName group) {
+    private AttemptRequest request(String attemptId, GroupName group) {
         return new AttemptRequest(
-                tryId,
+                attemptId,
                 group,
                 "vagtbank/claim",
                 "POST",
@@ -87,21 +88,21 @@
                 time.nanos() + Duration.ofSeconds(60).toNanos());
     }
 
-    private AttemptSender.AttemptExchange forward(String tryId) {
-        return owners.send(OWNER, request(tryId, GROUP));
+    private AttemptExchange forward(String attemptId) {
+        return owners.send(OWNER, request(attemptId, GROUP));
     }
 
-    private static Optional<ErrorKind> error(AttemptSender.AttemptExchange exchange) {
+    private static Optional<ErrorKind> error(AttemptExchange exchange) {
         return exchange.result().join().error();
     }
 
     @Test
     void carriesWholeTryToTheOwnerAndWholeAnswerBack() {
-        AttemptSender.AttemptExchange exchange = forward("t1");
+        AttemptExchange exchange = forward("t1");
         BackendRequest received = sent.get(0).request;
         sent.get(0).result.complete(BackendResult.answered(ANSWER, ServerState.READY));
 
-        assertThat(received.tryId()).isEqualTo("t1");
+        assertThat(received.attemptId()).isEqualTo("t1");
         assertThat(received.method() + received.target()).isEqualTo("POST/claims?x=1");
         assertThat(received.headers()).containsExactly(new Header("X-Sent", "yes"));
         assertThat(received.body()).isEqualTo(new byte[] {7});
@@ -124,7 +125,7 @@
     void tellsNotRunOnlyIfNothingWasSent(Fault fault, ErrorKind expected, int dispatched) {
         peers.fault = fault;
 
-        AttemptSender.AttemptExchange exchange = forward("t1");
+        AttemptExchange exchange = forward("t1");
         sent.forEach(running -> running.result.complete(BackendResult.answered(ANSWER, ServerState.READY)));
 
         assertThat(error(exchange)).hasValue(expected);
@@ -134,7 +135,7 @@
     @ParameterizedTest
     @EnumSource(names = {"SERVER_LOST", "ANSWER_FOREIGN", "SERVER_REFUSED", "NO_SERVER", "DEADLINE_BEFORE_RUN"})
     void passesErrorKindOn(ErrorKind kind) {
-        AttemptSender.AttemptExchange exchange = forward("t1");
+        AttemptExchange exchange = forward("t1");
         sent.get(0).result.complete(BackendResult.failed(kind, ServerState.READY));
 
         assertThat(error(exchange)).hasValue(kind);
@@ -143,14 +144,14 @@
     @ParameterizedTest
     @CsvSource({"vagtbank, viborg, NO_SERVER", "nosuch, herning, NO_SERVER"})
     void refusesGroupWithoutServersAsNotRun(String service, String dataCentre, ErrorKind expected) {
-        AttemptSender.AttemptExchange exchange = owners.send(OWNER, request("t1", new GroupName(service, dataCentre)));
+        AttemptExchange exchange = owners.send(OWNER, request("t1", new GroupName(service, dataCentre)));
 
         assertThat(error(exchange)).hasValue(expected);
     }
 
     @Test
     void refusesNewTriesWhileItStops() {
-        AttemptSender.AttemptExchange running = forward("t1");
+        AttemptExchange running = forward("t1");
         groups.beginStop();
 
         assertThat(error(forward("t2"))).hasValue(ErrorKind.STOPPING);
@@ -162,8 +163,8 @@
 
     @Test
     void queuesWhatHasNoSlotAndProvesItNotRunOnCancel() {
-        AttemptSender.AttemptExchange first = forward("t1");
-        AttemptSender.AttemptExchange second = forward("t2");
+        AttemptExchange first = forward("t1");
+        AttemptExchange second = forward("t2");
         assertThat(sent).hasSize(1);
 
         second.cancel();
@@ -176,7 +177,7 @@
 
     @Test
     void asksServerToCancelWhatRuns() {
-        AttemptSender.AttemptExchange exchange = forward("t1");
+        AttemptExchange exchange = forward("t1");
 
         exchange.cancel();
 
@@ -187,7 +188,7 @@
 
     @Test
     void ignoresCancelFromAnotherVm() {
-        AttemptSender.AttemptExchange exchange = owners.send(FakeComponents.SELF, request("t1", GROUP));
+        AttemptExchange exchange = owners.send(FakeComponents.SELF, request("t1", GROUP));
 
         peers.send(OWNER, new ForwardCancel("t1"));
 
@@ -197,7 +198,7 @@
 
     @Test
     void sendsTryIdOnceOnly() {
-        AttemptSender.AttemptExchange first = forward("t1");
+        AttemptExchange first = forward("t1");
 
         assertThat(error(forward("t1")).map(ErrorKind::outcome)).hasValue(Outcome.UNKNOWN);
         assertThat(sent).hasSize(1);
@@ -208,7 +209,7 @@
     void forwardsNothingAfterDeadline() {
         AttemptRequest late = request("t1", GROUP);
         AttemptRequest tooLate = new AttemptRequest(
-                late.tryId(),
+                late.attemptId(),
                 GROUP,
                 late.route(),
                 "POST",
--- a/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
@@ -69,10 +69,10 @@
         return new byte[0];
     }
 
-    private BackendRequest request(String tryId, Duration limit) {
+    private BackendRequest request(String attemptId, Duration limit) {
         ServerSpec spec = FakeComponents.server(server.port(), 2);
         return new BackendRequest(
-                tryId,
+                attemptId,
                 spec,
                 "POST",
                 "/claims?a=b",
@@ -82,8 +82,8 @@
                 LARGEST_ANSWER);
     }
 
-    private Exchange send(String tryId) {
-        return client.send(request(tryId, LIMIT));
+    private Exchange send(String attemptId) {
+        return client.send(request(attemptId, LIMIT));
     }
 
     static Stream<Arguments> faults() {
@@ -191,7 +191,7 @@
         start(request -> new byte[0]);
         BackendRequest request = request("t1", LIMIT);
         BackendRequest toClosedPort = new BackendRequest(
-                request.tryId(),
+                request.attemptId(),
                 FakeComponents.server(FreePorts.address().getPort(), 2),
                 request.method(),
                 request.target(),
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
 
-import io.coppershelf.claim.Claims;
+import io.coppershelf.claim.Claims.ClaimResult;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimCompletion;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimPage;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimRequest;
@@ -124,7 +124,7 @@
                 ClaimPage page = holders.get(peer).page("", key -> true, now);
                 send(() -> {
                     holder.merge(page.attempts(), now);
-                    holder.onPullComplete(peer, page.knowing(), page.lost());
+                    holder.onPullComplete(peer, page.historyKnown(), page.lost());
                 });
             });
         }
@@ -145,11 +145,11 @@
     }
 
     /** A claimed attempt runs or not; its end is told truly, or as unknown, or never since its VM is lost. */
-    private void onVerdict(String id, Optional<Claims.ClaimResult> verdict) {
+    private void onVerdict(String id, Optional<ClaimResult> verdict) {
         if (verdict.isEmpty()) {
             return;
         }
-        if (!(verdict.get() instanceof Claims.ClaimResult.Claimed)) {
+        if (!(verdict.get() instanceof ClaimResult.Claimed)) {
             complete(id, ClaimStatus.NOT_RUN);
             return;
         }
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimRoundTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimRoundTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.coppershelf.backend.BackendResult.Answer;
-import io.coppershelf.claim.Claims;
+import io.coppershelf.claim.Claims.ClaimResult;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Optional;
@@ -55,16 +55,16 @@
         Answer answer = new Answer(201, List.of(), new byte[0]);
         ClaimRound round = new ClaimRound(List.of("a", "b", "c"));
         HolderDecision ran = new HolderDecision(HolderDecision.Kind.RUN, Optional.of(answer));
-        assertThat(round.onReply("b", ran)).hasValue(new Claims.ClaimResult.Answered(answer));
+        assertThat(round.onReply("b", ran)).hasValue(new ClaimResult.Answered(answer));
         assertThat(round.onReply("a", HolderDecision.of(HolderDecision.Kind.ACCEPTED)))
                 .isEmpty();
     }
 
-    private static String name(Optional<Claims.ClaimResult> verdict) {
+    private static String name(Optional<ClaimResult> verdict) {
         if (verdict.isEmpty()) {
             return "OPEN";
         }
-        return verdict.get() instanceof Claims.ClaimResult.Rejected rejected
+        return verdict.get() instanceof ClaimResult.Rejected rejected
                 ? rejected.error().name()
                 : CLAIMED;
     }
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/GrantHolderTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/GrantHolderTest.java
@@ -6,6 +6,9 @@
 import io.coppershelf.floor.internal.FloorAction.Refused;
 import io.coppershelf.floor.internal.FloorAction.Revoked;
 import io.coppershelf.floor.internal.FloorAction.Send;
+import io.coppershelf.floor.internal.FloorMessage.GrantReply;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantResult;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -20,45 +23,44 @@
 
     private final GrantHolder holder = new GrantHolder(1);
 
-    private FloorMessage.GrantRequest ask(long now) {
+    private GrantRequest ask(long now) {
         return request(holder.request("s", "s-1", SET, RULES, now));
     }
 
-    private static FloorMessage.GrantRequest request(List<FloorAction> actions) {
-        return (FloorMessage.GrantRequest) ((Send) actions.get(0)).message();
+    private static GrantRequest request(List<FloorAction> actions) {
+        return (GrantRequest) ((Send) actions.get(0)).message();
     }
 
-    private List<FloorAction> reply(FloorMessage.GrantRequest to, FloorMessage.GrantResult verdict, long now) {
-        return holder.onReply("a", new FloorMessage.GrantReply("s", "s-1", to.sequence(), verdict, ""), now);
+    private List<FloorAction> reply(GrantRequest to, GrantResult verdict, long now) {
+        return holder.onReply("a", new GrantReply("s", "s-1", to.sequence(), verdict, ""), now);
     }
 
     @Test
     void countsALateGrantFromBeforeTheRequest() {
-        assertThat(reply(ask(0), FloorMessage.GrantResult.GRANTED, GRANT - 1))
-                .containsExactly(new Granted("s", "s-1", GRANT));
+        assertThat(reply(ask(0), GrantResult.GRANTED, GRANT - 1)).containsExactly(new Granted("s", "s-1", GRANT));
         assertThat(holder.isLive("s", "s-1", GRANT)).isFalse();
     }
 
     @Test
     void takesNoGrantThatIsOver() {
-        assertThat(reply(ask(0), FloorMessage.GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
+        assertThat(reply(ask(0), GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
     }
 
     @Test
     void renewalDoesNotProlongARightThatHasLapsed() {
-        assertThat(reply(ask(0), FloorMessage.GrantResult.GRANTED, 1)).hasSize(1);
-        FloorMessage.GrantRequest renewal = ask(RENEWAL);
+        assertThat(reply(ask(0), GrantResult.GRANTED, 1)).hasSize(1);
+        GrantRequest renewal = ask(RENEWAL);
         assertThat(renewal.live()).isTrue();
-        assertThat(reply(renewal, FloorMessage.GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
+        assertThat(reply(renewal, GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
     }
 
     @Test
     void ignoresAnswersToEarlierRequestsAndAfterRelease() {
-        FloorMessage.GrantRequest first = ask(0);
-        FloorMessage.GrantRequest second = request(holder.onTick(service -> SET, TIMEOUT));
-        assertThat(reply(first, FloorMessage.GrantResult.GRANTED, TIMEOUT)).isEmpty();
+        GrantRequest first = ask(0);
+        GrantRequest second = request(holder.onTick(service -> SET, TIMEOUT));
+        assertThat(reply(first, GrantResult.GRANTED, TIMEOUT)).isEmpty();
         assertThat(holder.release("s", "s-1", SET)).hasSize(3);
-        assertThat(reply(second, FloorMessage.GrantResult.GRANTED, TIMEOUT)).isEmpty();
+        assertThat(reply(second, GrantResult.GRANTED, TIMEOUT)).isEmpty();
         assertThat(holder.liveGrants(TIMEOUT)).isEqualTo(0);
     }
 
@@ -75,12 +77,11 @@
 
     @Test
     void endsARightAtOnceWhenItsRenewalIsRefusedOrItsTimeIsOverOrTheAllowanceShrinks() {
-        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
-        assertThat(reply(ask(RENEWAL), FloorMessage.GrantResult.REFUSED, RENEWAL))
-                .containsExactly(new Revoked("s", "s-1"));
-        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
+        reply(ask(0), GrantResult.GRANTED, 1);
+        assertThat(reply(ask(RENEWAL), GrantResult.REFUSED, RENEWAL)).containsExactly(new Revoked("s", "s-1"));
+        reply(ask(0), GrantResult.GRANTED, 1);
         assertThat(holder.onTick(service -> SET, GRANT)).containsExactly(new Revoked("s", "s-1"));
-        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
+        reply(ask(0), GrantResult.GRANTED, 1);
         ServiceRules raised = new ServiceRules(2, 2, Set.of());
         assertThat(holder.onRules(service -> raised, service -> SET)).contains(new Revoked("s", "s-1"));
         assertThat(holder.liveGrants(1)).isEqualTo(0);
@@ -88,10 +89,10 @@
 
     @Test
     void stopsRenewingWhatIsNoLongerAskedFor() {
-        reply(ask(0), FloorMessage.GrantResult.GRANTED, 1);
+        reply(ask(0), GrantResult.GRANTED, 1);
         assertThat(holder.onTick(service -> SET, RENEWAL)).hasSize(1);
-        FloorMessage.GrantRequest renewal = request(holder.onTick(service -> SET, RENEWAL + TIMEOUT));
-        reply(renewal, FloorMessage.GrantResult.GRANTED, RENEWAL + TIMEOUT);
+        GrantRequest renewal = request(holder.onTick(service -> SET, RENEWAL + TIMEOUT));
+        reply(renewal, GrantResult.GRANTED, RENEWAL + TIMEOUT);
         assertThat(holder.onTick(service -> SET, GRANT)).isEmpty();
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/GranterTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/GranterTest.java
@@ -2,6 +2,10 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantResult;
+import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
@@ -26,13 +30,11 @@
         List.of("a", "b", "c", "d").forEach(voter -> granter.lease().onVote(voter, round, now));
     }
 
-    private FloorMessage.GrantResult ask(
-            String server, long sequence, boolean live, long ticket, int allowance, long now) {
-        return granter.decide(
-                "h", new FloorMessage.GrantRequest("s", server, sequence, live, ticket, allowance), RULES, now);
+    private GrantResult ask(String server, long sequence, boolean live, long ticket, int allowance, long now) {
+        return granter.decide("h", new GrantRequest("s", server, sequence, live, ticket, allowance), RULES, now);
     }
 
-    private FloorMessage.GrantResult ask(String server, boolean live, long now) {
+    private GrantResult ask(String server, boolean live, long now) {
         return ask(server, 1, live, 5, 2, now);
     }
 
@@ -46,36 +48,36 @@
     @Test
     void renewsOnlyLiveRightsWhileItTakesOver() {
         keepLeaseUntil(TAKEOVER);
-        assertThat(ask("s-1", false, TAKEOVER - 1)).isEqualTo(FloorMessage.GrantResult.REFUSED);
-        assertThat(ask("s-2", true, TAKEOVER - 1)).isEqualTo(FloorMessage.GrantResult.GRANTED);
-        assertThat(ask("s-1", false, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.GRANTED);
-        assertThat(ask("s-3", false, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.REFUSED);
+        assertThat(ask("s-1", false, TAKEOVER - 1)).isEqualTo(GrantResult.REFUSED);
+        assertThat(ask("s-2", true, TAKEOVER - 1)).isEqualTo(GrantResult.GRANTED);
+        assertThat(ask("s-1", false, TAKEOVER)).isEqualTo(GrantResult.GRANTED);
+        assertThat(ask("s-3", false, TAKEOVER)).isEqualTo(GrantResult.REFUSED);
     }
 
     @Test
     void lateRenewalOfALapsedRightDoesNotBringANewOneWhileItTakesOver() {
-        assertThat(ask("s-1", true, 1)).isEqualTo(FloorMessage.GrantResult.GRANTED);
-        assertThat(ask("s-1", false, 2)).isEqualTo(FloorMessage.GrantResult.REFUSED);
+        assertThat(ask("s-1", true, 1)).isEqualTo(GrantResult.GRANTED);
+        assertThat(ask("s-1", false, 2)).isEqualTo(GrantResult.REFUSED);
     }
 
     @Test
     void grantsNothingWithoutAQuorumOrAfterItsLease() {
         long over = FloorTiming.LEASE_DURATION.toNanos();
-        assertThat(ask("s-1", true, over - 1)).isEqualTo(FloorMessage.GrantResult.GRANTED);
-        assertThat(ask("s-1", true, over)).isEqualTo(FloorMessage.GrantResult.NOT_GRANTER);
+        assertThat(ask("s-1", true, over - 1)).isEqualTo(GrantResult.GRANTED);
+        assertThat(ask("s-1", true, over)).isEqualTo(GrantResult.NOT_GRANTER);
         long round = granter.lease().startRound(over);
         List.of("a", "b", "c", "a", "x").forEach(voter -> granter.lease().onVote(voter, round, over));
-        assertThat(ask("s-1", true, over)).isEqualTo(FloorMessage.GrantResult.NOT_GRANTER);
+        assertThat(ask("s-1", true, over)).isEqualTo(GrantResult.NOT_GRANTER);
         granter.lease().onVote("d", round - 1, over);
-        assertThat(ask("s-1", true, over)).isEqualTo(FloorMessage.GrantResult.NOT_GRANTER);
+        assertThat(ask("s-1", true, over)).isEqualTo(GrantResult.NOT_GRANTER);
     }
 
     @Test
     void takesTheSmallerAllowanceAndRefusesARequestOfANewerTicket() {
         keepLeaseUntil(TAKEOVER);
-        assertThat(ask("s-1", 1, false, 6, 9, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.REFUSED);
-        assertThat(ask("s-1", 1, false, 5, 0, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.REFUSED);
-        assertThat(ask("s-1", 1, false, 4, 0, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.GRANTED);
+        assertThat(ask("s-1", 1, false, 6, 9, TAKEOVER)).isEqualTo(GrantResult.REFUSED);
+        assertThat(ask("s-1", 1, false, 5, 0, TAKEOVER)).isEqualTo(GrantResult.REFUSED);
+        assertThat(ask("s-1", 1, false, 4, 0, TAKEOVER)).isEqualTo(GrantResult.GRANTED);
     }
 
     @Test
@@ -83,21 +85,21 @@
         keepLeaseUntil(TAKEOVER);
         ask("s-1", 7, false, 5, 2, TAKEOVER);
         ask("s-2", 8, false, 5, 2, TAKEOVER);
-        granter.onRelease("h", new FloorMessage.GrantRelease("s", "s-1", 6));
-        assertThat(ask("s-3", 9, false, 5, 2, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.REFUSED);
-        granter.onRelease("h", new FloorMessage.GrantRelease("s", "s-1", 7));
-        assertThat(ask("s-3", 9, false, 5, 2, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.GRANTED);
+        granter.onRelease("h", new GrantRelease("s", "s-1", 6));
+        assertThat(ask("s-3", 9, false, 5, 2, TAKEOVER)).isEqualTo(GrantResult.REFUSED);
+        granter.onRelease("h", new GrantRelease("s", "s-1", 7));
+        assertThat(ask("s-3", 9, false, 5, 2, TAKEOVER)).isEqualTo(GrantResult.GRANTED);
     }
 
     @Test
     void reportedServersCountOnceAndForALimitedTime() {
         keepLeaseUntil(TAKEOVER);
-        granter.onReport("x", new FloorMessage.OutOfServiceReport("s", List.of("s-1", "s-2")), TAKEOVER);
-        granter.onReport("y", new FloorMessage.OutOfServiceReport("s", List.of("s-1", "s-2")), TAKEOVER);
+        granter.onReport("x", new OutOfServiceReport("s", List.of("s-1", "s-2")), TAKEOVER);
+        granter.onReport("y", new OutOfServiceReport("s", List.of("s-1", "s-2")), TAKEOVER);
         assertThat(granter.outOfServiceCount(RULES, TAKEOVER)).isEqualTo(2);
-        assertThat(ask("s-3", false, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.REFUSED);
-        assertThat(ask("s-1", false, TAKEOVER)).isEqualTo(FloorMessage.GrantResult.GRANTED);
-        granter.onReport("x", new FloorMessage.OutOfServiceReport("s", List.of()), TAKEOVER);
+        assertThat(ask("s-3", false, TAKEOVER)).isEqualTo(GrantResult.REFUSED);
+        assertThat(ask("s-1", false, TAKEOVER)).isEqualTo(GrantResult.GRANTED);
+        granter.onReport("x", new OutOfServiceReport("s", List.of()), TAKEOVER);
         long over = TAKEOVER + FloorTiming.REPORT_DURATION.toNanos();
         assertThat(granter.outOfServiceCount(RULES, over)).isEqualTo(0);
     }
--- a/coppershelf/src/test/java/io/coppershelf/membership/internal/FakeFleet.java
+++ b/coppershelf/src/test/java/io/coppershelf/membership/internal/FakeFleet.java
@@ -1,10 +1,12 @@
 package io.coppershelf.membership.internal;
 
 import io.coppershelf.membership.Vm;
+import io.coppershelf.membership.internal.MembershipEvent.IndirectProbeEnded;
 import io.coppershelf.membership.internal.MembershipEvent.Introduced;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
+import io.coppershelf.membership.internal.MembershipEvent.UpdatesReceived;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -156,7 +158,7 @@
                                 reached -> deliver(
                                         witness.id,
                                         id,
-                                        asker -> asker.on(new MembershipEvent.IndirectProbeEnded(
+                                        asker -> asker.on(new IndirectProbeEnded(
                                                 through.target(), witness.id, reached, began)))));
             } else if (action instanceof MembershipAction.Pull pull) {
                 pull(pull.target().id());
@@ -193,7 +195,7 @@
                     return;
                 }
                 if (peer.decisions.isLive(self.vm())) {
-                    peer.on(new MembershipEvent.UpdatesReceived(id, updates));
+                    peer.on(new UpdatesReceived(id, updates));
                 }
                 peer.on(new Introduced(self));
                 peer.reply(id, peer.decisions.gossipFor(id), () -> end(isEnded, true, listener));
--- a/coppershelf/src/test/java/io/coppershelf/routing/internal/RequestDecisionsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/routing/internal/RequestDecisionsTest.java
@@ -10,8 +10,13 @@
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.RequestResult;
 import io.coppershelf.routing.internal.RequestAction.AnswerCaller;
+import io.coppershelf.routing.internal.RequestAction.CancelAttempt;
+import io.coppershelf.routing.internal.RequestAction.RecordOutcome;
+import io.coppershelf.routing.internal.RequestAction.SendAttempt;
+import io.coppershelf.routing.internal.RequestEvent.AttemptEnded;
 import io.coppershelf.routing.internal.RequestEvent.DeadlinePassed;
 import io.coppershelf.routing.internal.RequestEvent.HedgeDue;
+import io.coppershelf.routing.internal.RequestEvent.SendCutoffReached;
 import io.coppershelf.routing.internal.RequestEvent.Started;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -34,30 +39,28 @@
 
     private final FakePolicy policy = new FakePolicy();
 
-    private static RequestEvent.AttemptEnded ended(int number, ErrorKind error) {
-        return new RequestEvent.AttemptEnded(number, AttemptResult.failed(error));
+    private static AttemptEnded ended(int number, ErrorKind error) {
+        return new AttemptEnded(number, AttemptResult.failed(error));
     }
 
-    private static RequestEvent.AttemptEnded answered(int number) {
-        return new RequestEvent.AttemptEnded(
+    private static AttemptEnded answered(int number) {
+        return new AttemptEnded(
                 number, new AttemptResult(Optional.of(ANSWER), Optional.empty(), Optional.empty(), Optional.empty()));
     }
 
     private RequestDecisions started(boolean isIdempotent) {
         RequestDecisions decisions = new RequestDecisions(isIdempotent, policy);
-        assertThat(decisions.on(new Started())).containsExactly(new RequestAction.SendAttempt(1, HERE, 0, false));
+        assertThat(decisions.on(new Started())).containsExactly(new SendAttempt(1, HERE, 0, false));
         return decisions;
     }
 
     private static List<RequestAction> told(ErrorKind error) {
         return List.of(
-                new AnswerCaller(RequestResult.failed(error)),
-                new RequestAction.RecordOutcome(error.outcome(), Optional.empty()));
+                new AnswerCaller(RequestResult.failed(error)), new RecordOutcome(error.outcome(), Optional.empty()));
     }
 
     private static final List<RequestAction> TOLD_ANSWER = List.of(
-            new AnswerCaller(RequestResult.answered(ANSWER)),
-            new RequestAction.RecordOutcome(Outcome.RUN, Optional.of(ANSWER)));
+            new AnswerCaller(RequestResult.answered(ANSWER)), new RecordOutcome(Outcome.RUN, Optional.of(ANSWER)));
 
     @Test
     void answersCallerWithServersAnswer() {
@@ -69,7 +72,7 @@
     void neverSendsNonIdempotentWorkAgainWithoutProof(ErrorKind error) {
         List<RequestAction> actions = started(false).on(ended(1, error));
 
-        boolean isSentAgain = actions.stream().anyMatch(RequestAction.SendAttempt.class::isInstance);
+        boolean isSentAgain = actions.stream().anyMatch(SendAttempt.class::isInstance);
         assertWithMessage("sent again after %s", error)
                 .that(isSentAgain && error.outcome() != Outcome.NOT_RUN)
                 .isFalse();
@@ -97,8 +100,7 @@
         List<RequestAction> actions = started(isIdempotent).on(ended(1, error));
 
         assertThat(actions)
-                .containsExactly(
-                        new RequestAction.SendAttempt(2, new GroupName("vagtbank", dataCentre), candidate, false));
+                .containsExactly(new SendAttempt(2, new GroupName("vagtbank", dataCentre), candidate, false));
         assertThat(policy.budget).isEqualTo(budgetLeft);
     }
 
@@ -115,22 +117,22 @@
         policy.groups = List.of(HERE);
 
         assertThat(started(false).on(ended(1, ErrorKind.SERVER_REFUSED)))
-                .containsExactly(new RequestAction.SendAttempt(2, HERE, 0, false));
+                .containsExactly(new SendAttempt(2, HERE, 0, false));
         assertThat(started(true).on(ended(1, ErrorKind.OWNER_LOST)))
-                .containsExactly(new RequestAction.SendAttempt(2, HERE, 1, false));
+                .containsExactly(new SendAttempt(2, HERE, 1, false));
         assertThat(started(false).on(ended(1, ErrorKind.OVERLOADED))).isEqualTo(told(ErrorKind.OVERLOADED));
     }
 
     @Test
     void givesUpAfterAllOwnersOfAllGroups() {
         RequestDecisions decisions = started(false);
-        List<RequestAction.SendAttempt> sent = new ArrayList<>();
+        List<SendAttempt> sent = new ArrayList<>();
         List<RequestAction> actions = List.of();
         for (int number = 1; number <= 6; number++) {
             actions = decisions.on(ended(number, ErrorKind.OWNER_UNREACHABLE));
             actions.stream()
-                    .filter(RequestAction.SendAttempt.class::isInstance)
-                    .map(RequestAction.SendAttempt.class::cast)
+                    .filter(SendAttempt.class::isInstance)
+                    .map(SendAttempt.class::cast)
                     .forEach(sent::add);
         }
 
@@ -153,8 +155,8 @@
         policy.groups = List.of(HERE);
         Duration retryAfter = Duration.ofSeconds(7);
 
-        List<RequestAction> actions = started(false)
-                .on(new RequestEvent.AttemptEnded(1, AttemptResult.refused(ErrorKind.OVERLOADED, retryAfter)));
+        List<RequestAction> actions =
+                started(false).on(new AttemptEnded(1, AttemptResult.refused(ErrorKind.OVERLOADED, retryAfter)));
 
         assertThat(actions).contains(new AnswerCaller(RequestResult.failed(ErrorKind.OVERLOADED, retryAfter)));
     }
@@ -170,10 +172,10 @@
     void hedgesIdempotentWorkElsewhereAndCancelsTheSlowerTry() {
         RequestDecisions decisions = started(true);
 
-        assertThat(decisions.on(new HedgeDue())).containsExactly(new RequestAction.SendAttempt(2, THERE, 0, true));
+        assertThat(decisions.on(new HedgeDue())).containsExactly(new SendAttempt(2, THERE, 0, true));
         assertThat(decisions.on(new HedgeDue())).isEmpty();
         assertThat(decisions.on(answered(2)))
-                .containsExactly(TOLD_ANSWER.get(0), new RequestAction.CancelAttempt(1), TOLD_ANSWER.get(1))
+                .containsExactly(TOLD_ANSWER.get(0), new CancelAttempt(1), TOLD_ANSWER.get(1))
                 .inOrder();
         assertThat(decisions.on(answered(1))).isEmpty();
     }
@@ -199,39 +201,36 @@
     void tellsNotRunIfCancelledTryIsProvedNotRun(ErrorKind proof) {
         RequestDecisions decisions = started(false);
 
-        assertThat(decisions.on(new RequestEvent.SendCutoffReached()))
-                .containsExactly(new RequestAction.CancelAttempt(1));
+        assertThat(decisions.on(new SendCutoffReached())).containsExactly(new CancelAttempt(1));
         assertThat(decisions.on(ended(1, proof))).isEqualTo(told(ErrorKind.DEADLINE_BEFORE_RUN));
         assertThat(decisions.on(new DeadlinePassed())).isEmpty();
     }
 
-    static Stream<RequestEvent.AttemptEnded> lateEnds() {
+    static Stream<AttemptEnded> lateEnds() {
         return Stream.of(answered(1), ended(1, ErrorKind.DEADLINE_BEFORE_RUN), ended(1, ErrorKind.SERVER_LOST));
     }
 
     @ParameterizedTest
     @MethodSource("lateEnds")
-    void tellsUnknownAtDeadlineAndSettlesWithTheTruthLater(RequestEvent.AttemptEnded late) {
+    void tellsUnknownAtDeadlineAndSettlesWithTheTruthLater(AttemptEnded late) {
         RequestDecisions decisions = started(false);
-        assertThat(decisions.on(new RequestEvent.SendCutoffReached())).hasSize(1);
+        assertThat(decisions.on(new SendCutoffReached())).hasSize(1);
 
         assertThat(decisions.on(new DeadlinePassed()))
                 .containsExactly(new AnswerCaller(RequestResult.failed(ErrorKind.DEADLINE_PASSED)));
         Outcome truth = late.result().error().map(ErrorKind::outcome).orElse(Outcome.RUN);
         assertThat(decisions.on(late))
-                .containsExactly(
-                        new RequestAction.RecordOutcome(truth, late.result().answer()));
+                .containsExactly(new RecordOutcome(truth, late.result().answer()));
     }
 
     @Test
     void sendsNothingIfClaimComesAfterDeadline() {
         RequestDecisions decisions = new RequestDecisions(false, policy);
 
-        assertThat(decisions.on(new RequestEvent.SendCutoffReached())).isEmpty();
+        assertThat(decisions.on(new SendCutoffReached())).isEmpty();
         assertThat(decisions.on(new DeadlinePassed()))
                 .containsExactly(new AnswerCaller(RequestResult.failed(ErrorKind.DEADLINE_BEFORE_RUN)));
-        assertThat(decisions.on(new Started()))
-                .containsExactly(new RequestAction.RecordOutcome(Outcome.NOT_RUN, Optional.empty()));
+        assertThat(decisions.on(new Started())).containsExactly(new RecordOutcome(Outcome.NOT_RUN, Optional.empty()));
     }
 
     static IntStream seeds() {
@@ -277,7 +276,7 @@
             if (roll == 0) {
                 return new HedgeDue();
             }
-            return roll == 1 ? new RequestEvent.SendCutoffReached() : end();
+            return roll == 1 ? new SendCutoffReached() : end();
         }
 
         private RequestEvent end() {
@@ -297,13 +296,13 @@
 
         private void take(List<RequestAction> actions) {
             for (RequestAction action : actions) {
-                if (action instanceof RequestAction.SendAttempt send) {
+                if (action instanceof SendAttempt send) {
                     assertThat(isIdempotent || (open.isEmpty() && !mayHaveRun)).isTrue();
                     open.add(send.number());
                 } else if (action instanceof AnswerCaller answer) {
                     answers++;
                     checkTruth(answer.result());
-                } else if (action instanceof RequestAction.RecordOutcome settle) {
+                } else if (action instanceof RecordOutcome settle) {
                     settles++;
                     assertThat(settle.outcome() == Outcome.NOT_RUN && mayHaveRun)
                             .isFalse();
--- a/coppershelf/src/test/java/io/coppershelf/ticket/TicketDocumentTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/TicketDocumentTest.java
@@ -119,7 +119,7 @@
 
     @Test
     void refusesDocumentOverOneMegabyte() {
-        String text = VALID + " ".repeat(TicketDocument.LARGEST_DOCUMENT_BYTES);
+        String text = VALID + " ".repeat(TicketDocument.MAX_DOCUMENT_BYTES);
 
         CoppershelfException failure = assertThrows(CoppershelfException.class, () -> TicketDocument.parse(text));
 
