--- a/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
@@ -39,7 +39,7 @@
 
     /** Takes a try. The reply is never called if the server stalls for good. */
     void start(Attempt attempt, Consumer<Answer> reply) {
-        ServerState state = plan.stated(name, time.now());
+        ServerState state = plan.reportedState(name, time.now());
         if (state == ServerState.DRAINING) {
             refuse(state, reply);
             return;
@@ -56,21 +56,23 @@
     }
 
     private void run(Attempt attempt, Consumer<Answer> reply) {
-        attempt.request().ran();
+        attempt.request().recordRun();
         Run run = new Run(reply);
-        running.put(attempt.tryId(), run);
+        running.put(attempt.attemptId(), run);
         long work = attempt.request().kind().drawNanos(random);
         OptionalLong end = plan.speed(name).finish(time.now(), work);
         end.ifPresent(nanos -> time.at(nanos, () -> finish(attempt, run)));
     }
 
     private void finish(Attempt attempt, Run run) {
-        if (!running.remove(attempt.tryId(), run)) {
+        if (!running.remove(attempt.attemptId(), run)) {
             return;
         }
         boolean error =
                 random.nextDouble() < plan.errorShare(name, attempt.request().kind(), time.now());
-        run.reply().accept(new Answer(Optional.of(error ? 500 : 200), Optional.empty(), plan.stated(name, time.now())));
+        run.reply()
+                .accept(new Answer(
+                        Optional.of(error ? 500 : 200), Optional.empty(), plan.reportedState(name, time.now())));
     }
 
     private static void refuse(ServerState state, Consumer<Answer> reply) {
@@ -78,9 +80,9 @@
     }
 
     /** Cancels a try that has started; a stalled server does not react. */
-    void cancel(String tryId) {
+    void cancel(String attemptId) {
         if (plan.speed(name).speedAt(time.now()) > 0) {
-            running.remove(tryId);
+            running.remove(attemptId);
         }
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
@@ -31,7 +31,7 @@
     private final long endNanos;
     private final Map<String, SpeedTimeline> speeds = new HashMap<>();
     private final Set<String> targets = new HashSet<>();
-    private final List<SickSpan> sickSpans = new ArrayList<>();
+    private final List<UnhealthySpan> sickSpans = new ArrayList<>();
 
     /**
      * A span in which a server is sick.
@@ -40,7 +40,7 @@
      * @param fromNanos its begin
      * @param untilNanos its end
      */
-    record SickSpan(String server, long fromNanos, long untilNanos) {}
+    record UnhealthySpan(String server, long fromNanos, long untilNanos) {}
 
     FaultPlan(Fault fault, ServiceProfile service, long endNanos, RandomGenerator random) {
         this.fault = fault;
@@ -98,7 +98,7 @@
 
     private void sick(String server, long from, long until) {
         targets.add(server);
-        sickSpans.add(new SickSpan(server, from, Math.min(until, endNanos)));
+        sickSpans.add(new UnhealthySpan(server, from, Math.min(until, endNanos)));
     }
 
     /** Returns the fault. */
@@ -112,12 +112,12 @@
     }
 
     /** Returns the spans in which servers are sick. */
-    List<SickSpan> sickSpans() {
+    List<UnhealthySpan> unhealthySpans() {
         return sickSpans;
     }
 
     /** Returns whether the server was sick at the time or shortly before. */
-    boolean isSickLately(String server, long nanos, long lookBackNanos) {
+    boolean wasRecentlyUnhealthy(String server, long nanos, long lookBackNanos) {
         return sickSpans.stream()
                 .anyMatch(span -> span.server().equals(server)
                         && nanos >= span.fromNanos()
@@ -146,7 +146,7 @@
     }
 
     /** Returns what the server says of itself. */
-    ServerState stated(String server, long nanos) {
+    ServerState reportedState(String server, long nanos) {
         if (nanos < ONSET || !targets.contains(server)) {
             return ServerState.READY;
         }
@@ -164,7 +164,7 @@
     }
 
     /** Returns whether load reports mislead at the given time. */
-    boolean misleads(long nanos) {
+    boolean hasMisleadingReports(long nanos) {
         return fault == Fault.REPORTS && nanos >= ONSET;
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseSimulation.java
@@ -13,7 +13,7 @@
 import java.util.random.RandomGenerator;
 
 /** The way by leases: owners lend slots to entry VMs, which send to the servers themselves. */
-final class LeaseWorld {
+final class LeaseSimulation {
     /** How long an entry VM keeps an idle lease that nobody else waits for. */
     private static final long LINGER = 20 * Units.MILLIS;
 
@@ -21,7 +21,7 @@
 
     private final RunSpec spec;
     private final VirtualTime time = new VirtualTime();
-    private final Ledger ledger;
+    private final RunRecorder ledger;
     private final Map<String, FakeServer> servers = new TreeMap<>();
     private final List<LeaseBroker> brokers = new ArrayList<>();
     private final List<Deque<Lease>> idleByVm = new ArrayList<>();
@@ -29,10 +29,10 @@
     private final RandomGenerator arrivals;
     private final RandomGenerator random;
 
-    private LeaseWorld(RunSpec spec) {
+    private LeaseSimulation(RunSpec spec) {
         this.spec = spec;
         FaultPlan plan = new FaultPlan(spec.fault(), spec.service(), spec.endNanos(), spec.random(Stream.PLAN));
-        this.ledger = new Ledger(spec, plan);
+        this.ledger = new RunRecorder(spec, plan);
         this.arrivals = spec.random(Stream.ARRIVALS);
         this.random = spec.random(Stream.ENTRIES);
         RandomGenerator serverRandom = spec.random(Stream.SERVERS);
@@ -50,11 +50,11 @@
 
     /** Runs the service to its end and returns the figures. */
     static RunResult run(RunSpec spec) {
-        LeaseWorld world = new LeaseWorld(spec);
+        LeaseSimulation world = new LeaseSimulation(spec);
         world.time.after(world.nextGap(), world::arrive);
         world.time.runUntil(spec.endNanos() + DRAIN_OUT);
-        world.requests.forEach(world.ledger::closed);
-        return world.ledger.close();
+        world.requests.forEach(world.ledger::recordFinalState);
+        return world.ledger.finish();
     }
 
     private long nextGap() {
@@ -70,7 +70,7 @@
         KindProfile kind = spec.service().drawKind(arrivals);
         BenchRequest request = new BenchRequest(requests.size(), vm, kind, time.now());
         requests.add(request);
-        ledger.arrived(request);
+        ledger.recordArrival(request);
         time.at(request.deadlineNanos(), () -> lose(request));
         Deque<Lease> idle = idleByVm.get(vm);
         if (idle.isEmpty()) {
@@ -82,7 +82,7 @@
     }
 
     private void hop(Runnable task) {
-        ledger.message(time.now());
+        ledger.recordMessage(time.now());
         time.after(spec.service().customer().oneWayNanos(), task);
     }
 
@@ -106,7 +106,7 @@
 
     private void refuse(BenchRequest request) {
         if (request.markAnswered()) {
-            ledger.refused(request, time.now());
+            ledger.recordRefusal(request, time.now());
         }
     }
 
@@ -115,14 +115,14 @@
             giveBack(lease);
             return;
         }
-        Attempt attempt = new Attempt(request.nextTryId(), request);
+        Attempt attempt = new Attempt(request.nextAttemptId(), request);
         servers.get(lease.server()).start(attempt, answer -> answered(lease, request, answer));
     }
 
     private void answered(Lease lease, BenchRequest request, Answer answer) {
         if (request.markAnswered()) {
             boolean success = answer.status().filter(status -> status == 200).isPresent();
-            ledger.answered(request, success, time.now());
+            ledger.recordAnswer(request, success, time.now());
         }
         if (lease.broker().isContended()) {
             giveBack(lease);
@@ -140,14 +140,14 @@
 
     private void giveBack(Lease lease) {
         hop(() -> {
-            lease.broker().giveBack(lease);
+            lease.broker().release(lease);
             grant(lease.broker());
         });
     }
 
     private void lose(BenchRequest request) {
         if (request.markAnswered()) {
-            ledger.lost(request);
+            ledger.recordLoss(request);
         }
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/ServiceWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/ServiceSimulation.java
@@ -1,7 +1,7 @@
 package io.coppershelf.bench.decisions;
 
 import io.coppershelf.admission.GroupAction.ConditionChanged;
-import io.coppershelf.admission.GroupEvent.BaselineHeard;
+import io.coppershelf.admission.GroupEvent.ServiceTimesReceived;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.bench.decisions.RunSpec.Stream;
@@ -17,24 +17,24 @@
 import java.util.random.RandomGenerator;
 
 /** One service in virtual time: its servers, the hosts that decide for them, and the entry VMs. */
-final class ServiceWorld {
+final class ServiceSimulation {
     private static final long REPORT_INTERVAL = Units.SECONDS;
     private static final long DRAIN_OUT = 15 * Units.SECONDS;
 
     private final RunSpec spec;
     private final VirtualTime time = new VirtualTime();
     private final FaultPlan plan;
-    private final Ledger ledger;
+    private final RunRecorder ledger;
     private final FloorCounter floor;
     private final Map<String, FakeServer> servers = new TreeMap<>();
     private final Map<String, Integer> reportedLoads = new TreeMap<>();
     private final List<GroupHost> hosts = new ArrayList<>();
     private final EntryVms entries;
 
-    private ServiceWorld(RunSpec spec) {
+    private ServiceSimulation(RunSpec spec) {
         this.spec = spec;
         this.plan = new FaultPlan(spec.fault(), spec.service(), spec.endNanos(), spec.random(Stream.PLAN));
-        this.ledger = new Ledger(spec, plan);
+        this.ledger = new RunRecorder(spec, plan);
         this.floor = new FloorCounter(spec.service().servers(), spec.service().floor());
         RandomGenerator serverRandom = spec.random(Stream.SERVERS);
         for (ServerSpec server : spec.service().serverSpecs()) {
@@ -47,15 +47,15 @@
     /** Runs the service to its end and returns the figures. */
     static RunResult run(RunSpec spec) {
         if (spec.policy().layout() == Layout.LEASES) {
-            return LeaseWorld.run(spec);
+            return LeaseSimulation.run(spec);
         }
-        ServiceWorld world = new ServiceWorld(spec);
+        ServiceSimulation world = new ServiceSimulation(spec);
         world.startHosts();
         world.reportLoads();
         world.entries.start();
         world.time.runUntil(spec.endNanos() + DRAIN_OUT);
-        world.entries.close();
-        return world.ledger.close();
+        world.entries.finish();
+        return world.ledger.finish();
     }
 
     private void startHosts() {
@@ -93,7 +93,7 @@
     }
 
     private int reportedLoad(String name, FakeServer server) {
-        if (!plan.misleads(time.now())) {
+        if (!plan.hasMisleadingReports(time.now())) {
             return server.load();
         }
         boolean first = name.equals(servers.keySet().iterator().next());
@@ -101,33 +101,33 @@
     }
 
     /** Tells the usual times of one host to the others. */
-    void shareBaseline(int sender, BaselineHeard heard) {
+    void shareBaseline(int sender, ServiceTimesReceived heard) {
         for (int index = 0; index < hosts.size(); index++) {
             GroupHost host = hosts.get(index);
             if (index != sender) {
-                time.after(spec.service().customer().oneWayNanos(), () -> host.hear(heard));
+                time.after(spec.service().customer().oneWayNanos(), () -> host.receiveServiceTimes(heard));
             }
         }
     }
 
     /** Takes in a change of condition. */
     void conditionChanged(ConditionChanged changed) {
-        ledger.changed(changed.server(), changed.to(), time.now());
+        ledger.recordConditionChange(changed.server(), changed.to(), time.now());
         floor.reportOut(
                 changed.server(), changed.to() == ServerCondition.DRAINING || changed.to() == ServerCondition.COLD);
     }
 
     /** Brings a reply to the entry VM. */
     void reply(int host, Attempt attempt, Reply reply, GroupStatus status) {
-        time.after(hop(), () -> entries.replied(host, attempt, reply, status));
+        time.after(networkDelayNanos(), () -> entries.handleReply(host, attempt, reply, status));
     }
 
     /** Returns the time between an entry VM and a host. */
-    long hop() {
+    long networkDelayNanos() {
         if (spec.policy().layout() == Layout.EACH_VM_ALONE) {
             return 0;
         }
-        ledger.message(time.now());
+        ledger.recordMessage(time.now());
         return spec.service().customer().oneWayNanos();
     }
 
@@ -143,7 +143,7 @@
         return plan;
     }
 
-    Ledger ledger() {
+    RunRecorder recorder() {
         return ledger;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/load/TruthReport.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/ConsistencyReport.java
@@ -14,7 +14,7 @@
  * @param foreignOrPartial answers with status 200 that were not the caller's own whole answer
  * @param unanswered calls without any answer
  */
-public record TruthReport(
+public record ConsistencyReport(
         int calls,
         double inTimeShare,
         long executedTwice,
@@ -23,21 +23,21 @@
         long foreignOrPartial,
         long unanswered) {
     /** Returns the report over the results of a run. */
-    public static TruthReport of(List<CallResult> results, Map<String, Integer> executions) {
+    public static ConsistencyReport of(List<CallResult> results, Map<String, Integer> executions) {
         double weight =
                 results.stream().mapToInt(result -> result.route().weight()).sum();
         double inTime = results.stream()
                 .filter(CallResult::isInTime)
                 .mapToInt(result -> result.route().weight())
                 .sum();
-        return new TruthReport(
+        return new ConsistencyReport(
                 results.size(),
                 weight == 0 ? 1 : inTime / weight,
                 results.stream()
                         .filter(result -> !result.route().idempotent() && begun(result, executions) > 1)
                         .count(),
                 results.stream()
-                        .filter(result -> result.isToldNotRun() && begun(result, executions) > 0)
+                        .filter(result -> result.isReportedNotRun() && begun(result, executions) > 0)
                         .count(),
                 results.stream()
                         .filter(result -> result.status() == 200 && begun(result, executions) == 0)
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether no promise was broken. */
-    public boolean isTrue() {
+    public boolean isConsistent() {
         return executedTwice == 0 && notRunYetRun == 0 && answeredYetNotRun == 0 && foreignOrPartial == 0;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EjectionWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EjectionSimulation.java
@@ -1,7 +1,7 @@
 package io.coppershelf.bench.matrix;
 
 import io.coppershelf.floor.internal.FloorAction;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
 import io.coppershelf.floor.internal.FloorNode;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.membership.internal.FleetSnapshot;
@@ -20,7 +20,7 @@
 import java.util.stream.IntStream;
 
 /** Seven VMs that each want to eject a server of their own; the fault strikes while a right is asked for. */
-final class EjectionWorld {
+final class EjectionSimulation {
     static final int SERVERS = 7;
     static final int FLOOR = 5;
     private static final int VMS = 7;
@@ -39,14 +39,14 @@
     private boolean armed;
     private int mostOut;
 
-    EjectionWorld(Fault fault) {
+    EjectionSimulation(Fault fault) {
         this.fault = fault;
         configuration.apply(ticket(1, FLOOR, 0));
         ids.forEach(this::start);
     }
 
     /** Returns the most servers that were ejected at once. */
-    int mostOut() {
+    int maxEjected() {
         return mostOut;
     }
 
@@ -72,22 +72,22 @@
     private void start(String id) {
         FloorNode node = new FloorNode(view(id, ids), configuration.snapshot(), network.nowNanos());
         nodes.put(id, node);
-        node.stand(SERVICE);
+        node.becomeCandidateIfBestRanked(SERVICE);
         tick(id);
     }
 
     private FleetSnapshot view(String id, List<String> reachable) {
         List<Vm> vms = ids.stream()
-                .map(name -> new Vm(name, 1 + network.life(name), "thess-a", "127.0.0.1", 1, 2, false))
+                .map(name -> new Vm(name, 1 + network.incarnation(name), "thess-a", "127.0.0.1", 1, 2, false))
                 .toList();
         return new FleetSnapshot(vms.get(ids.indexOf(id)), vms, Set.copyOf(reachable));
     }
 
     private void tick(String id) {
         FloorNode node = nodes.get(id);
-        node.stand(SERVICE);
+        node.becomeCandidateIfBestRanked(SERVICE);
         perform(id, node.onTick(network.nowNanos()));
-        perform(id, node.ask(SERVICE, "s-" + ids.indexOf(id), network.nowNanos()));
+        perform(id, node.request(SERVICE, "s-" + ids.indexOf(id), network.nowNanos()));
         network.after(id, TICK, () -> tick(id));
     }
 
@@ -111,7 +111,7 @@
         Set<String> servers = new HashSet<>();
         for (String id : ids) {
             String server = "s-" + ids.indexOf(id);
-            if (network.isUp(id) && nodes.get(id).isLive(SERVICE, server, network.nowNanos())) {
+            if (network.isUp(id) && nodes.get(id).isGrantLive(SERVICE, server, network.nowNanos())) {
                 servers.add(server);
             }
         }
@@ -120,7 +120,7 @@
 
     /** Strikes the VM that is asked for a right. */
     private void strikeAt(FloorAction.Send send) {
-        if (!armed || !(send.message() instanceof RightRequest)) {
+        if (!armed || !(send.message() instanceof GrantRequest)) {
             return;
         }
         armed = false;
--- a/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
@@ -94,10 +94,10 @@
     }
 
     private static void checkRequest(Fault fault, Step step, String victim) {
-        RequestWorld world = new RequestWorld(step, fault, victim);
+        RequestSimulation world = new RequestSimulation(step, fault, victim);
         world.run();
         String cell = fault + " at " + step + " of " + victim;
-        assertWithMessage("%s struck", cell).that(world.isStruck()).isTrue();
+        assertWithMessage("%s struck", cell).that(world.isFaultInjected()).isTrue();
         List<String> executed = world.executed();
         assertWithMessage("%s, tries run", cell).that(executed.size()).isAtMost(1);
         world.attempts().forEach(attempt -> checkAttempt(cell, attempt, executed));
@@ -106,14 +106,14 @@
                     .that(world.receivedByDraining().size())
                     .isAtMost(1);
             assertWithMessage("%s, work under way", cell)
-                    .that(world.attempts().get(0).told().flatMap(RequestResult::answer))
+                    .that(world.attempts().get(0).result().flatMap(RequestResult::answer))
                     .isPresent();
         }
         checkEntry(cell, fault, victim, world);
     }
 
     private static void checkAttempt(String cell, EntryAttempt attempt, List<String> executed) {
-        Optional<RequestResult> told = attempt.told();
+        Optional<RequestResult> told = attempt.result();
         Outcome outcome =
                 told.flatMap(RequestResult::error).map(ErrorKind::outcome).orElse(Outcome.UNKNOWN);
         boolean ran = executed.stream().anyMatch(id -> id.startsWith(attempt.id() + "/"));
@@ -129,23 +129,23 @@
     }
 
     /** Each caller hears in time, unless its own entry VM is away. */
-    private static void checkEntry(String cell, Fault fault, String victim, RequestWorld world) {
+    private static void checkEntry(String cell, Fault fault, String victim, RequestSimulation world) {
         for (EntryAttempt attempt : world.attempts()) {
             boolean isAway = attempt.vm().equals(victim) && fault != Fault.CUT_IN && fault != Fault.CUT_OUT;
             if (isAway) {
                 continue;
             }
             assertWithMessage("%s, %s told", cell, attempt.id())
-                    .that(attempt.told().isPresent())
+                    .that(attempt.result().isPresent())
                     .isTrue();
             assertWithMessage("%s, time of %s", cell, attempt.id())
-                    .that(attempt.toldNanos() - attempt.startNanos())
+                    .that(attempt.resultNanos() - attempt.startNanos())
                     .isAtMost(EntryAttempt.DEADLINE.plus(ANSWER_MARGIN).toNanos());
         }
     }
 
     private static void checkTickets(Fault fault) {
-        TicketWorld world = new TicketWorld();
+        TicketSimulation world = new TicketSimulation();
         world.run(fault);
         assertWithMessage("%s, reverts", fault).that(world.reverts()).isEmpty();
         assertWithMessage("%s, digests", fault)
@@ -162,13 +162,13 @@
     }
 
     private static void checkFloor(Fault fault) {
-        EjectionWorld world = new EjectionWorld(fault);
+        EjectionSimulation world = new EjectionSimulation(fault);
         world.run();
         assertWithMessage("%s, servers out at once", fault)
-                .that(world.mostOut())
-                .isAtMost(EjectionWorld.SERVERS - EjectionWorld.FLOOR);
+                .that(world.maxEjected())
+                .isAtMost(EjectionSimulation.SERVERS - EjectionSimulation.FLOOR);
         assertWithMessage("%s, rights granted again", fault)
-                .that(world.mostOut())
+                .that(world.maxEjected())
                 .isAtLeast(1);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/TryRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptRequest.java
@@ -6,7 +6,7 @@
 /**
  * One try of a caller's request, on its way to the owner of a server group.
  *
- * @param tryId unique over the fleet and all tries
+ * @param attemptId unique over the fleet and all tries
  * @param group the server group that is to serve it
  * @param route the name of the request kind
  * @param method the HTTP method
@@ -19,8 +19,8 @@
  * @param hedge whether it is a second, parallel try
  * @param deadlineNanos the monotonic time after which the answer is of no use
  */
-public record TryRequest(
-        String tryId,
+public record AttemptRequest(
+        String attemptId,
         GroupName group,
         String route,
         String method,
@@ -32,7 +32,7 @@
         int largestAnswer,
         boolean hedge,
         long deadlineNanos) {
-    public TryRequest {
+    public AttemptRequest {
         headers = List.copyOf(headers);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
@@ -3,34 +3,34 @@
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Refuse;
-import io.coppershelf.admission.GroupEvent.BaselineHeard;
+import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.EjectionRevoked;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
-import io.coppershelf.admission.GroupEvent.ReachabilityHeard;
+import io.coppershelf.admission.GroupEvent.ReachabilityReported;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.RequestCancelled;
+import io.coppershelf.admission.GroupEvent.ServiceTimesReceived;
 import io.coppershelf.admission.GroupEvent.Tick;
-import io.coppershelf.admission.GroupEvent.TryEnded;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
+import io.coppershelf.admission.internal.ActionCollector;
 import io.coppershelf.admission.internal.AdmissionControl;
+import io.coppershelf.admission.internal.AttemptEndClassifier;
 import io.coppershelf.admission.internal.DeadlineQueue;
-import io.coppershelf.admission.internal.GroupActions;
-import io.coppershelf.admission.internal.HopelessTries;
+import io.coppershelf.admission.internal.LeastLoadedSelector;
+import io.coppershelf.admission.internal.MeanServiceTimes;
+import io.coppershelf.admission.internal.QueueShedder;
+import io.coppershelf.admission.internal.QueuedAttempt;
 import io.coppershelf.admission.internal.RetryAfterEstimate;
-import io.coppershelf.admission.internal.RunningTry;
-import io.coppershelf.admission.internal.ServerChoice;
-import io.coppershelf.admission.internal.ServiceTimes;
+import io.coppershelf.admission.internal.RunningAttempt;
 import io.coppershelf.admission.internal.ShedBackoff;
 import io.coppershelf.admission.internal.SlotTable;
-import io.coppershelf.admission.internal.TryEnds;
 import io.coppershelf.admission.internal.WaitEstimate;
-import io.coppershelf.admission.internal.WaitingTry;
+import io.coppershelf.health.AttemptEnd;
 import io.coppershelf.health.GroupHealth;
 import io.coppershelf.health.HealthPolicy;
 import io.coppershelf.health.ServerCondition;
-import io.coppershelf.health.TryEnd;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.ticket.ServerSpec;
 import io.coppershelf.ticket.ServiceSpec;
@@ -61,20 +61,20 @@
     private final GroupName name;
     private final SlotTable slots = new SlotTable();
     private final DeadlineQueue queue = new DeadlineQueue();
-    private final ServiceTimes serviceTimes = new ServiceTimes();
+    private final MeanServiceTimes serviceTimes = new MeanServiceTimes();
     private final AdmissionControl admission = new AdmissionControl(queue, serviceTimes);
     private final ShedBackoff backoff = new ShedBackoff();
     private final Map<String, ServerSpec> servers = new TreeMap<>();
-    private final GroupActions actions = new GroupActions();
+    private final ActionCollector actions = new ActionCollector();
     private final RetryAfterEstimate retryAfter;
     private final GroupHealth health;
-    private final ServerChoice choice;
+    private final LeastLoadedSelector choice;
 
     private ServerGroup(GroupName name, RandomGenerator random, Function<ServiceSpec, HealthPolicy> policies) {
         this.name = name;
         this.retryAfter = new RetryAfterEstimate(random);
         this.health = new GroupHealth(policies, actions);
-        this.choice = new ServerChoice(slots, health, backoff, random);
+        this.choice = new LeastLoadedSelector(slots, health, backoff, random);
     }
 
     /** Returns the decisions for the group, without servers yet. */
@@ -93,13 +93,13 @@
         health.advance(nowNanos);
         if (event instanceof RequestArrived request) {
             arrive(request, nowNanos);
-        } else if (event instanceof TryEnded ended) {
+        } else if (event instanceof AttemptEnded ended) {
             end(ended, nowNanos);
         } else if (event instanceof Tick) {
             health.tick(nowNanos);
             refuseHopeless(nowNanos);
         } else if (event instanceof RequestCancelled cancelled) {
-            cancel(cancelled.tryId());
+            cancel(cancelled.attemptId());
         } else if (event instanceof Configured configured) {
             configure(configured, nowNanos);
         } else {
@@ -112,10 +112,10 @@
     private void tellHealth(GroupEvent event, long nowNanos) {
         if (event instanceof ProbeEnded probe) {
             health.probeEnded(probe.server(), probe.state(), nowNanos);
-        } else if (event instanceof BaselineHeard heard) {
-            health.baselineHeard(heard.sender(), heard.usualNanos(), nowNanos);
-        } else if (event instanceof ReachabilityHeard heard) {
-            health.reachabilityHeard(heard.server(), heard.reachable(), nowNanos);
+        } else if (event instanceof ServiceTimesReceived heard) {
+            health.serviceTimesReceived(heard.sender(), heard.typicalNanos(), nowNanos);
+        } else if (event instanceof ReachabilityReported heard) {
+            health.reachabilityReported(heard.server(), heard.reachable(), nowNanos);
         } else if (event instanceof EjectionGranted granted) {
             health.ejectionGranted(granted.server(), granted.untilNanos(), nowNanos);
         } else if (event instanceof EjectionRevoked revoked) {
@@ -132,79 +132,80 @@
     private void arrive(RequestArrived request, long nowNanos) {
         WaitEstimate estimate = estimate(nowNanos);
         boolean admitted = request.hedge()
-                ? queue.isEmpty() && choice.best(servers.values(), nowNanos).isPresent()
+                ? queue.isEmpty()
+                        && choice.selectUnsuspected(servers.values(), nowNanos).isPresent()
                 : admission.admits(request, estimate, nowNanos);
-        retryAfter.decided(admitted);
+        retryAfter.recordDecision(admitted);
         if (admitted) {
-            queue.add(new WaitingTry(request, serviceTimes.meanNanos(request.route())));
+            queue.add(new QueuedAttempt(request, serviceTimes.meanNanos(request.route())));
             return;
         }
         ErrorKind error = estimate.slots() == 0 ? ErrorKind.NO_SERVER : ErrorKind.OVERLOADED;
-        actions.add(new Refuse(request.tryId(), error, retryAfter.after(expectedWaitNanos(estimate))));
+        actions.add(new Refuse(request.attemptId(), error, retryAfter.retryAfter(expectedWaitNanos(estimate))));
     }
 
     private void refuseHopeless(long nowNanos) {
         WaitEstimate estimate = choice.largestEstimate(servers.values(), serviceTimes, nowNanos);
-        for (WaitingTry hopeless : HopelessTries.find(queue, estimate, nowNanos)) {
-            queue.remove(hopeless.tryId());
-            Duration delay = retryAfter.after(expectedWaitNanos(estimate));
-            actions.add(new Refuse(hopeless.tryId(), ErrorKind.OVERLOADED, delay));
+        for (QueuedAttempt hopeless : QueueShedder.selectAttempts(queue, estimate, nowNanos)) {
+            queue.remove(hopeless.attemptId());
+            Duration delay = retryAfter.retryAfter(expectedWaitNanos(estimate));
+            actions.add(new Refuse(hopeless.attemptId(), ErrorKind.OVERLOADED, delay));
         }
     }
 
-    private void cancel(String tryId) {
-        queue.remove(tryId)
-                .ifPresent(waiting -> actions.add(new Refuse(tryId, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO)));
-        slots.find(tryId).ifPresent(running -> actions.add(new CancelOnServer(tryId, running.server())));
+    private void cancel(String attemptId) {
+        queue.remove(attemptId)
+                .ifPresent(waiting -> actions.add(new Refuse(attemptId, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO)));
+        slots.find(attemptId).ifPresent(running -> actions.add(new CancelOnServer(attemptId, running.server())));
     }
 
-    private void end(TryEnded ended, long nowNanos) {
-        Optional<RunningTry> running = slots.free(ended.tryId());
+    private void end(AttemptEnded ended, long nowNanos) {
+        Optional<RunningAttempt> running = slots.release(ended.attemptId());
         if (running.isEmpty()) {
             return;
         }
-        RunningTry done = running.get();
-        TryEnd end = TryEnds.of(ended);
-        if (end == TryEnd.ANSWERED) {
-            backoff.ran(done.server());
+        RunningAttempt done = running.get();
+        AttemptEnd end = AttemptEndClassifier.classify(ended);
+        if (end == AttemptEnd.ANSWERED) {
+            backoff.recordSuccess(done.server());
             serviceTimes.record(done.request().route(), health.observedNanos() - done.dispatchedNanos());
-        } else if (end == TryEnd.REFUSED) {
-            backoff.refused(done.server(), nowNanos);
+        } else if (end == AttemptEnd.REFUSED) {
+            backoff.recordRefusal(done.server(), nowNanos);
         }
-        health.ended(ended.tryId(), done.server(), end, ended.serverState(), nowNanos);
+        health.ended(ended.attemptId(), done.server(), end, ended.serverState(), nowNanos);
     }
 
     private void dispatchWaiting(long nowNanos) {
         dispatchTrial(nowNanos);
         while (!queue.isEmpty()) {
-            WaitingTry first = queue.tries().get(0);
+            QueuedAttempt first = queue.attempts().get(0);
             if (isTooLate(first, nowNanos)) {
-                queue.remove(first.tryId());
-                actions.add(new Refuse(first.tryId(), ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
+                queue.remove(first.attemptId());
+                actions.add(new Refuse(first.attemptId(), ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
                 continue;
             }
             Optional<String> server = serverFor(first, nowNanos);
             if (server.isEmpty()) {
                 return;
             }
-            queue.remove(first.tryId());
+            queue.remove(first.attemptId());
             dispatch(first, server.get(), nowNanos);
         }
     }
 
-    private boolean isTooLate(WaitingTry waiting, long nowNanos) {
+    private boolean isTooLate(QueuedAttempt waiting, long nowNanos) {
         return waiting.slackNanos(nowNanos) < waiting.expectedNanos() / 2;
     }
 
-    private Optional<String> serverFor(WaitingTry waiting, long nowNanos) {
-        Optional<String> best = choice.best(servers.values(), nowNanos);
+    private Optional<String> serverFor(QueuedAttempt waiting, long nowNanos) {
+        Optional<String> best = choice.selectUnsuspected(servers.values(), nowNanos);
         if (best.isPresent() || waiting.request().hedge() || canWait(waiting, nowNanos)) {
             return best;
         }
-        return choice.suspected(servers.values(), nowNanos);
+        return choice.selectSuspected(servers.values(), nowNanos);
     }
 
-    private boolean canWait(WaitingTry waiting, long nowNanos) {
+    private boolean canWait(QueuedAttempt waiting, long nowNanos) {
         WaitEstimate estimate = estimate(nowNanos);
         long needed = estimate.waitNanos(queue, 0) + waiting.expectedNanos();
         return choice.hasUnsuspected(servers.values(), nowNanos)
@@ -215,23 +216,23 @@
         if (queue.isEmpty()) {
             return;
         }
-        health.trialDue(nowNanos)
+        health.findServerDueForTrial(nowNanos)
                 .filter(server -> slots.inFlight(server) < servers.get(server).slots())
-                .ifPresent(server -> queue.takeFirst(waiting -> isFitForTrial(waiting, nowNanos))
+                .ifPresent(server -> queue.removeFirst(waiting -> isFitForTrial(waiting, nowNanos))
                         .ifPresent(waiting -> dispatch(waiting, server, nowNanos)));
     }
 
-    private boolean isFitForTrial(WaitingTry waiting, long nowNanos) {
+    private boolean isFitForTrial(QueuedAttempt waiting, long nowNanos) {
         return waiting.request().idempotent()
                 && !waiting.request().hedge()
                 && waiting.slackNanos(nowNanos) >= TRIAL_SLACK * waiting.expectedNanos();
     }
 
-    private void dispatch(WaitingTry waiting, String server, long nowNanos) {
+    private void dispatch(QueuedAttempt waiting, String server, long nowNanos) {
         RequestArrived request = waiting.request();
-        slots.take(new RunningTry(request, server, health.observedNanos()));
-        health.dispatched(request.tryId(), server, request.route(), request.idempotent(), nowNanos);
-        actions.add(new Dispatch(request.tryId(), server));
+        slots.occupy(new RunningAttempt(request, server, health.observedNanos()));
+        health.dispatched(request.attemptId(), server, request.route(), request.idempotent(), nowNanos);
+        actions.add(new Dispatch(request.attemptId(), server));
     }
 
     private WaitEstimate estimate(long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/GroupActions.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Gathers the actions of one event in order. */
-public final class GroupActions implements HealthCommands {
+public final class ActionCollector implements HealthCommands {
     private List<GroupAction> actions = new ArrayList<>();
 
     /** Adds an action. */
@@ -24,8 +24,8 @@
     }
 
     @Override
-    public void askEjection(String server, String reason) {
-        add(new GroupAction.AskEjection(server, reason));
+    public void requestEjection(String server, String reason) {
+        add(new GroupAction.RequestEjection(server, reason));
     }
 
     @Override
@@ -39,18 +39,18 @@
     }
 
     @Override
-    public void askReachability(String server) {
-        add(new GroupAction.AskReachability(server));
+    public void queryReachability(String server) {
+        add(new GroupAction.QueryReachability(server));
     }
 
     @Override
-    public void cancel(String tryId, String server) {
-        add(new GroupAction.CancelOnServer(tryId, server));
+    public void cancel(String attemptId, String server) {
+        add(new GroupAction.CancelOnServer(attemptId, server));
     }
 
     @Override
-    public void shareUsualTimes(Map<String, Long> usualNanos) {
-        add(new GroupAction.ShareBaseline(usualNanos));
+    public void shareServiceTimes(Map<String, Long> usualNanos) {
+        add(new GroupAction.ShareServiceTimes(usualNanos));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
@@ -1,8 +1,8 @@
 package io.coppershelf.admission.internal.runtime;
 
+import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.peer.MessageFields;
 import io.coppershelf.peer.PeerMessageCodec;
 import java.io.IOException;
@@ -33,8 +33,8 @@
 
     @Override
     public void write(ForwardRequest message, MessagePacker packer) throws IOException {
-        TryRequest request = message.request();
-        packer.packString(request.tryId());
+        AttemptRequest request = message.request();
+        packer.packString(request.attemptId());
         packer.packString(request.group().service());
         packer.packString(request.group().dataCentre());
         packer.packString(request.route());
@@ -51,7 +51,7 @@
 
     @Override
     public ForwardRequest read(MessageUnpacker unpacker) throws IOException {
-        String tryId = unpacker.unpackString();
+        String attemptId = unpacker.unpackString();
         GroupName group = new GroupName(unpacker.unpackString(), unpacker.unpackString());
         String route = unpacker.unpackString();
         String method = unpacker.unpackString();
@@ -65,8 +65,8 @@
         long remainingMillis = readRemaining(unpacker);
         long deadline = time.nanos() + Duration.ofMillis(remainingMillis).toNanos();
         return new ForwardRequest(
-                new TryRequest(
-                        tryId,
+                new AttemptRequest(
+                        attemptId,
                         group,
                         route,
                         method,
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
@@ -1,19 +1,19 @@
 package io.coppershelf.admission.internal.runtime;
 
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptResult.GroupLoad;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.admission.GroupAction;
 import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.GroupOwners.TryExchange;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.admission.ServerGroupDecisions;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.admission.TryResult;
-import io.coppershelf.admission.TryResult.GroupLoad;
 import io.coppershelf.backend.BackendClient;
 import io.coppershelf.backend.BackendRequest;
 import io.coppershelf.backend.BackendResult;
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.ticket.ServerSpec;
 import io.coppershelf.ticket.ServiceSpec;
@@ -34,8 +34,8 @@
     private final ServerGroupDecisions decisions;
     private final BackendClient backend;
     private final TimeSource time;
-    private final HealthActions healthActions;
-    private final ConcurrentMap<String, PendingTry> tries = new ConcurrentHashMap<>();
+    private final HealthActionExecutor healthActions;
+    private final ConcurrentMap<String, PendingAttempt> tries = new ConcurrentHashMap<>();
     private volatile Map<String, ServerSpec> servers = Map.of();
 
     GroupRuntime(
@@ -43,7 +43,7 @@
             ServerGroupDecisions decisions,
             BackendClient backend,
             TimeSource time,
-            Function<GroupRuntime, HealthActions> healthActions) {
+            Function<GroupRuntime, HealthActionExecutor> healthActions) {
         this.name = name;
         this.decisions = decisions;
         this.backend = backend;
@@ -66,7 +66,7 @@
     }
 
     /** Returns the number of tries that have not ended. */
-    int underWay() {
+    int inFlight() {
         return tries.size();
     }
 
@@ -77,14 +77,14 @@
     }
 
     /** Takes a try in; a try id that is under way already is not run a second time. */
-    TryExchange submit(TryRequest request) {
-        PendingTry pending = new PendingTry(request, this::cancel);
-        if (tries.putIfAbsent(request.tryId(), pending) != null) {
-            pending.end(TryResult.failed(ErrorKind.OWNER_LOST));
+    AttemptExchange submit(AttemptRequest request) {
+        PendingAttempt pending = new PendingAttempt(request, this::cancel);
+        if (tries.putIfAbsent(request.attemptId(), pending) != null) {
+            pending.end(AttemptResult.failed(ErrorKind.OWNER_LOST));
             return pending;
         }
         on(new GroupEvent.RequestArrived(
-                request.tryId(),
+                request.attemptId(),
                 request.route(),
                 request.idempotent(),
                 request.weight(),
@@ -93,9 +93,9 @@
         return pending;
     }
 
-    private void cancel(PendingTry pending) {
-        on(new GroupEvent.RequestCancelled(pending.request().tryId()));
-        endIfWaiting(pending, TryResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
+    private void cancel(PendingAttempt pending) {
+        on(new GroupEvent.RequestCancelled(pending.request().attemptId()));
+        endIfWaiting(pending, AttemptResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
     }
 
     /** Feeds one event to the decisions and carries out what they want. */
@@ -113,49 +113,49 @@
             return;
         }
         if (action instanceof GroupAction.Refuse refuse) {
-            pending(refuse.tryId())
-                    .ifPresent(
-                            pending -> endIfWaiting(pending, TryResult.refused(refuse.error(), refuse.retryAfter())));
+            pending(refuse.attemptId())
+                    .ifPresent(pending ->
+                            endIfWaiting(pending, AttemptResult.refused(refuse.error(), refuse.retryAfter())));
             return;
         }
         if (action instanceof GroupAction.CancelOnServer cancel) {
-            pending(cancel.tryId()).ifPresent(pending -> pending.cancelOnServer(CANCEL_LIMIT));
+            pending(cancel.attemptId()).ifPresent(pending -> pending.cancelOnServer(CANCEL_LIMIT));
             return;
         }
         healthActions.perform(action);
     }
 
-    private Optional<PendingTry> pending(String tryId) {
-        return Optional.ofNullable(tries.get(tryId));
+    private Optional<PendingAttempt> pending(String attemptId) {
+        return Optional.ofNullable(tries.get(attemptId));
     }
 
     private void dispatch(GroupAction.Dispatch dispatch) {
-        Optional<PendingTry> pending = pending(dispatch.tryId());
+        Optional<PendingAttempt> pending = pending(dispatch.attemptId());
         Optional<ServerSpec> server = server(dispatch.server());
         if (pending.isEmpty() || server.isEmpty()) {
             ErrorKind error = pending.isEmpty() ? ErrorKind.DEADLINE_BEFORE_RUN : ErrorKind.NO_SERVER;
-            ended(dispatch.tryId(), BackendResult.failed(error, ServerState.UNSTATED));
+            ended(dispatch.attemptId(), BackendResult.failed(error, ServerState.UNSTATED));
             return;
         }
         send(pending.get(), server.get());
     }
 
-    private void send(PendingTry pending, ServerSpec server) {
-        String tryId = pending.request().tryId();
+    private void send(PendingAttempt pending, ServerSpec server) {
+        String attemptId = pending.request().attemptId();
         boolean isSent = pending.send(() -> {
             BackendClient.Exchange exchange = backend.send(backendRequest(pending.request(), server));
-            var unused = exchange.result().thenAccept(result -> ended(tryId, result));
+            var unused = exchange.result().thenAccept(result -> ended(attemptId, result));
             return exchange;
         });
         if (!isSent) {
-            on(new GroupEvent.TryEnded(
-                    tryId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN), ServerState.UNSTATED));
+            on(new GroupEvent.AttemptEnded(
+                    attemptId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN), ServerState.UNSTATED));
         }
     }
 
-    private static BackendRequest backendRequest(TryRequest request, ServerSpec server) {
+    private static BackendRequest backendRequest(AttemptRequest request, ServerSpec server) {
         return new BackendRequest(
-                request.tryId(),
+                request.attemptId(),
                 server,
                 request.method(),
                 request.target(),
@@ -165,18 +165,18 @@
                 request.largestAnswer());
     }
 
-    private void ended(String tryId, BackendResult result) {
-        PendingTry pending = tries.remove(tryId);
-        on(new GroupEvent.TryEnded(
-                tryId, result.answer().map(BackendResult.Answer::status), result.error(), result.serverState()));
+    private void ended(String attemptId, BackendResult result) {
+        PendingAttempt pending = tries.remove(attemptId);
+        on(new GroupEvent.AttemptEnded(
+                attemptId, result.answer().map(BackendResult.Answer::status), result.error(), result.serverState()));
         if (pending != null) {
-            pending.end(TryResult.of(result).withLoad(load()));
+            pending.end(AttemptResult.of(result).withLoad(load()));
         }
     }
 
-    private void endIfWaiting(PendingTry pending, TryResult outcome) {
+    private void endIfWaiting(PendingAttempt pending, AttemptResult outcome) {
         if (pending.endIfWaiting(outcome.withLoad(load()))) {
-            tries.remove(pending.request().tryId());
+            tries.remove(pending.request().attemptId());
         }
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
@@ -1,12 +1,12 @@
 package io.coppershelf.admission.internal.runtime;
 
 import com.google.common.flogger.FluentLogger;
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptSender.AttemptExchange;
 import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.GroupOwners.TryExchange;
 import io.coppershelf.admission.OwnerLookup;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.admission.TryResult;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.ticket.Configuration;
 import io.coppershelf.ticket.ServerSpec;
@@ -43,7 +43,7 @@
     }
 
     /** Takes a try in, or refuses it as not run if this VM may not serve its group. */
-    TryExchange submit(TryRequest request) {
+    AttemptExchange submit(AttemptRequest request) {
         if (isStopping) {
             return refused(ErrorKind.STOPPING);
         }
@@ -55,8 +55,8 @@
                 .orElseGet(() -> refused(ErrorKind.NO_SERVER));
     }
 
-    private static TryExchange refused(ErrorKind error) {
-        return new EndedTry(CompletableFuture.completedFuture(TryResult.failed(error)));
+    private static AttemptExchange refused(ErrorKind error) {
+        return new EndedAttempt(CompletableFuture.completedFuture(AttemptResult.failed(error)));
     }
 
     /** Returns the group, made if needed; empty if the configuration has no server for it. */
@@ -100,7 +100,7 @@
         Optional<ServiceSpec> service =
                 configuration.current().service(runtime.name().service());
         boolean isWanted = service.isPresent() && owners.isServedHere(runtime.name());
-        if (!isWanted && runtime.underWay() == 0) {
+        if (!isWanted && runtime.inFlight() == 0) {
             groups.remove(runtime.name());
             return;
         }
@@ -132,12 +132,12 @@
     }
 
     /** Returns the number of tries that have not ended. */
-    int underWay() {
-        return groups.values().stream().mapToInt(GroupRuntime::underWay).sum();
+    int inFlight() {
+        return groups.values().stream().mapToInt(GroupRuntime::inFlight).sum();
     }
 
     /** A try that ended at once. */
-    private record EndedTry(CompletableFuture<TryResult> result) implements TryExchange {
+    private record EndedAttempt(CompletableFuture<AttemptResult> result) implements AttemptExchange {
         @Override
         public void cancel() {}
     }
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
@@ -6,7 +6,7 @@
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.backend.HeaderRules;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.ErrorKind;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
@@ -22,11 +22,11 @@
  * One try on its way. Its result is set once: by the answer, by a failure, or by what the server says when asked to
  * cancel.
  */
-final class HttpTry implements BackendClient.Exchange {
+final class HttpAttempt implements BackendClient.Exchange {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final BackendRequest request;
-    private final HttpClients clients;
+    private final HttpClientHolder clients;
     private final ConnectionLimits connections;
     private final TimeSource time;
     private final CompletableFuture<BackendResult> result = new CompletableFuture<>();
@@ -35,7 +35,7 @@
     private final AnswerHandler handler;
     private volatile CompletableFuture<HttpResponse<byte[]>> http = new CompletableFuture<>();
 
-    HttpTry(BackendRequest request, HttpClients clients, ConnectionLimits connections, TimeSource time) {
+    HttpAttempt(BackendRequest request, HttpClientHolder clients, ConnectionLimits connections, TimeSource time) {
         this.request = request;
         this.clients = clients;
         this.connections = connections;
@@ -45,7 +45,7 @@
 
     /** Sends the try, unless it is too late or the server has no connection left for it. */
     void start() {
-        Semaphore connection = connections.forTries(request.server());
+        Semaphore connection = connections.forAttempts(request.server());
         if (!connection.tryAcquire()) {
             end(ErrorKind.OVERLOADED);
             return;
@@ -61,7 +61,7 @@
 
     private void sendNow(long remainingMillis, Semaphore connection) {
         try {
-            HttpRequest httpRequest = ServerProtocol.tryRequest(request, remainingMillis);
+            HttpRequest httpRequest = ServerProtocol.attemptRequest(request, remainingMillis);
             http = clients.current().sendAsync(httpRequest, handler);
         } catch (IllegalArgumentException e) {
             connection.release();
@@ -91,7 +91,7 @@
         if (givenUpAs.isPresent()) {
             return BackendResult.failed(givenUpAs.get(), ServerState.UNSTATED);
         }
-        ErrorKind kind = FailureKinds.of(failure, handler.isHeadSeen());
+        ErrorKind kind = FailureKinds.of(failure, handler.isHeadReceived());
         if (kind == ErrorKind.ANSWER_FOREIGN) {
             clients.replace();
         }
@@ -122,8 +122,9 @@
     }
 
     private void hearCancelAnswer(HttpResponse<?> answer, Duration limit) {
-        boolean isTrusted =
-                answer != null && answer.statusCode() == 200 && ServerProtocol.isOf(answer.headers(), request.tryId());
+        boolean isTrusted = answer != null
+                && answer.statusCode() == 200
+                && ServerProtocol.belongsTo(answer.headers(), request.attemptId());
         if (isTrusted && ServerProtocol.isNotStarted(answer.headers())) {
             giveUp(ErrorKind.DEADLINE_BEFORE_RUN);
             return;
@@ -144,7 +145,7 @@
      */
     private void giveUp(ErrorKind kind) {
         givenUpAs = Optional.of(kind);
-        if (handler.isHeadSeen()) {
+        if (handler.isHeadReceived()) {
             handler.abandon();
         } else {
             http.cancel(true);
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
@@ -5,8 +5,8 @@
 import io.coppershelf.claim.internal.ClaimMessage.ClaimPage;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimPull;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimPush;
-import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.ControlThread;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.peer.PeerExchange;
@@ -72,8 +72,8 @@
     }
 
     /** Starts pulls from peers that have not answered one yet. */
-    public void pullMissing() {
-        for (String id : holder.missing(time.nanos())) {
+    public void pullFromMissingPeers() {
+        for (String id : holder.peersToPull(time.nanos())) {
             if (pulling.size() >= PULLS_AT_ONCE) {
                 return;
             }
@@ -89,7 +89,7 @@
         String self = view.self().id();
         await(
                 pushAll(key -> {
-                    List<String> next = view.rankedByList("claim/" + key, ClaimLimits.HOLDERS + 1).stream()
+                    List<String> next = view.rankedPublished("claim/" + key, ClaimLimits.HOLDERS + 1).stream()
                             .map(Vm::id)
                             .filter(id -> !id.equals(self))
                             .toList();
@@ -104,8 +104,8 @@
         if (!known) {
             return;
         }
-        replies.reply(
-                holder.page(pull.after(), key -> ClaimHistory.holders(view, key).contains(sender), time.nanos()));
+        replies.reply(holder.page(
+                pull.after(), key -> ClaimCoverage.holders(view, key).contains(sender), time.nanos()));
     }
 
     private void pull(String id, String after) {
@@ -130,18 +130,18 @@
             pull(id, page.last());
             return;
         }
-        holder.onPulled(id, page.knowing(), page.lost());
+        holder.onPullComplete(id, page.historyKnown(), page.lost());
         pulling.remove(id);
     }
 
     private static List<Vm> list(FleetView view) {
-        return view.rankedByList("", Integer.MAX_VALUE);
+        return view.rankedPublished("", Integer.MAX_VALUE);
     }
 
     private void push(FleetView former, FleetView view) {
         var unused = pushAll(key -> {
-            List<String> added = new ArrayList<>(ClaimHistory.holders(view, key));
-            added.removeAll(ClaimHistory.holders(former, key));
+            List<String> added = new ArrayList<>(ClaimCoverage.holders(view, key));
+            added.removeAll(ClaimCoverage.holders(former, key));
             added.remove(view.self().id());
             return added;
         });
@@ -159,8 +159,8 @@
     }
 
     private List<CompletableFuture<PeerReply>> pushPage(ClaimPage page, Function<String, List<String>> targets) {
-        Map<String, List<TransferredAttempt>> byTarget = new TreeMap<>();
-        for (TransferredAttempt attempt : page.attempts()) {
+        Map<String, List<TransferredClaim>> byTarget = new TreeMap<>();
+        for (TransferredClaim attempt : page.attempts()) {
             for (String target : targets.apply(attempt.key())) {
                 byTarget.computeIfAbsent(target, id -> new ArrayList<>()).add(attempt);
             }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
@@ -15,17 +15,17 @@
  */
 public final class HolderState {
     private final ClaimTable table = new ClaimTable(ClaimLimits.MOST_ATTEMPTS);
-    private final ClaimHistory history;
+    private final ClaimCoverage history;
 
     /** Returns the state of a holder that starts now. */
     public HolderState(FleetView view, long nowNanos) {
-        history = new ClaimHistory(view, nowNanos);
+        history = new ClaimCoverage(view, nowNanos);
     }
 
     /** Decides on a claim. */
-    public synchronized HolderAnswer claim(ClaimRequest request, long nowNanos) {
+    public synchronized HolderDecision claim(ClaimRequest request, long nowNanos) {
         if (!history.covers(request.key(), nowNanos)) {
-            return HolderAnswer.of(HolderAnswer.Verdict.NO_HISTORY);
+            return HolderDecision.of(HolderDecision.Kind.NO_HISTORY);
         }
         return table.claim(
                 request.key(),
@@ -47,7 +47,7 @@
     }
 
     /** Takes in what another holder knows. */
-    public synchronized void merge(List<TransferredAttempt> attempts, long nowNanos) {
+    public synchronized void merge(List<TransferredClaim> attempts, long nowNanos) {
         attempts.forEach(attempt -> table.merge(attempt, nowNanos));
     }
 
@@ -55,7 +55,7 @@
     public synchronized ClaimPage page(String after, Predicate<String> wanted, long nowNanos) {
         ClaimTable.Page page = table.page(after, wanted, nowNanos);
         return new ClaimPage(
-                page.attempts(), page.last(), page.complete(), history.isComplete(nowNanos), history.lost(nowNanos));
+                page.attempts(), page.last(), page.complete(), history.isComplete(nowNanos), history.lostVms(nowNanos));
     }
 
     /** Takes over a view of the fleet. */
@@ -64,13 +64,13 @@
     }
 
     /** Takes in that a peer has answered the whole pull. */
-    public synchronized void onPulled(String peer, boolean knowing, List<String> lost) {
-        history.onPulled(peer, knowing, lost);
+    public synchronized void onPullComplete(String peer, boolean knowing, List<String> lost) {
+        history.onPullComplete(peer, knowing, lost);
     }
 
     /** Returns the peers that are still to be pulled from. */
-    public synchronized List<String> missing(long nowNanos) {
-        return history.missing(nowNanos);
+    public synchronized List<String> peersToPull(long nowNanos) {
+        return history.peersToPull(nowNanos);
     }
 
     /** Returns whether this VM knows the attempts that were made before it started. */
--- a/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
@@ -1,7 +1,7 @@
 package io.coppershelf.cli;
 
 import io.coppershelf.cli.internal.DaemonAddress;
-import io.coppershelf.cli.internal.Fleet;
+import io.coppershelf.cli.internal.FleetDiscovery;
 import io.coppershelf.cli.internal.OperatorClient;
 import java.util.List;
 
@@ -14,7 +14,7 @@
      *
      * @throws UsageException if it has another form than {@code HOST:PORT}
      */
-    static DaemonAddress one(String text) {
+    static DaemonAddress parse(String text) {
         try {
             return DaemonAddress.parse(text);
         } catch (IllegalArgumentException e) {
@@ -28,10 +28,10 @@
      * @param isFleet whether all daemons that the given ones know are added
      * @throws UsageException if one of them has another form than {@code HOST:PORT}
      */
-    static List<DaemonAddress> all(String text, boolean isFleet, OperatorClient client) {
+    static List<DaemonAddress> parseAll(String text, boolean isFleet, OperatorClient client) {
         try {
             List<DaemonAddress> given = DaemonAddress.parseList(text);
-            return isFleet ? Fleet.expand(given, client) : given;
+            return isFleet ? FleetDiscovery.expand(given, client) : given;
         } catch (IllegalArgumentException e) {
             throw new UsageException(e.getMessage());
         }
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/Fleet.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetDiscovery.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 
 /** Finds the daemons of a fleet from some of them. */
-public final class Fleet {
-    private Fleet() {}
+public final class FleetDiscovery {
+    private FleetDiscovery() {}
 
     /** Returns the given daemons and all that the first of them which answers counts as live. */
     public static List<DaemonAddress> expand(List<DaemonAddress> known, OperatorClient client) {
         Set<DaemonAddress> all = new LinkedHashSet<>(known);
         known.stream()
-                .map(daemon -> client.ask(daemon, "/fleet"))
+                .map(daemon -> client.fetch(daemon, "/fleet"))
                 .flatMap(Optional::stream)
                 .findFirst()
                 .ifPresent(status -> all.addAll(members(status)));
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChoice.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/AttemptAllocator.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** Chooses servers for one request. */
-public interface ServerChoice {
+public interface AttemptAllocator {
     /**
      * Returns the best server whose id is not excluded.
      *
@@ -14,8 +14,8 @@
     Optional<BackendServer> choose(Set<String> excluded, boolean isLastChance);
 
     /** Returns whether the budget of the service has a repeat left. */
-    boolean mayRepeat();
+    boolean canRetry();
 
     /** Takes one repeat from the budget of the service; returns whether it had any left. */
-    boolean takeRepeat();
+    boolean tryAcquireRetry();
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
@@ -1,10 +1,10 @@
 package io.coppershelf.dispatch;
 
-import io.coppershelf.belief.BeliefTable;
-import io.coppershelf.belief.ServerBelief;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.ServerList;
+import io.coppershelf.health.estimate.HealthEstimate;
+import io.coppershelf.health.estimate.HealthEstimates;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
@@ -44,11 +44,11 @@
     private static final double JITTER_LOSS = 0.01;
 
     private final String dataCentre;
-    private final BeliefTable beliefs;
+    private final HealthEstimates beliefs;
     private final FleetLoad fleetLoad;
-    private final ServiceSpread spread;
+    private final IdleServerTracker spread;
     private final Random random;
-    private final Map<String, ServerUse> uses = new HashMap<>();
+    private final Map<String, ServerStats> uses = new HashMap<>();
 
     /**
      * Creates a chooser without knowledge of loads.
@@ -59,7 +59,7 @@
      * @param spread keeps the floor of servers in use
      */
     public ServerChooser(
-            String dataCentre, BeliefTable beliefs, FleetLoad fleetLoad, ServiceSpread spread, Random random) {
+            String dataCentre, HealthEstimates beliefs, FleetLoad fleetLoad, IdleServerTracker spread, Random random) {
         this.dataCentre = dataCentre;
         this.beliefs = beliefs;
         this.fleetLoad = fleetLoad;
@@ -68,12 +68,12 @@
     }
 
     /** Returns what is known of the use of a server; nothing is known of a new incarnation. */
-    public ServerUse use(BackendServer server) {
-        ServerUse known = uses.get(server.id());
+    public ServerStats stats(BackendServer server) {
+        ServerStats known = uses.get(server.id());
         if (known != null && known.isOf(server)) {
             return known;
         }
-        ServerUse created = new ServerUse(server);
+        ServerStats created = new ServerStats(server);
         uses.put(server.id(), created);
         return created;
     }
@@ -90,9 +90,9 @@
         Optional<BackendServer> forFloor = kind == RequestKind.LARGE_ANSWER
                 ? Optional.empty()
                 : best(
-                        spread.unused(
+                        spread.idleServers(
                                 unsuspected(servers, nowNanos),
-                                server -> use(server).code(),
+                                server -> stats(server).code(),
                                 isLastChance,
                                 nowNanos),
                         kind,
@@ -105,15 +105,16 @@
     /** Returns the servers that can be reached, have a free slot and are not suspected. */
     private List<BackendServer> unsuspected(List<BackendServer> servers, long nowNanos) {
         return servers.stream()
-                .filter(server -> !use(server).isPathAvoided(nowNanos))
+                .filter(server -> !stats(server).isInBackoff(nowNanos))
                 .filter(server -> busy(server, nowNanos) < server.slots())
-                .filter(server -> beliefs.belief(use(server).key(), nowNanos).isWorthATry(nowNanos))
+                .filter(server ->
+                        beliefs.estimate(stats(server).key(), nowNanos).allowsTrialRequest(nowNanos))
                 .toList();
     }
 
     private double busy(BackendServer server, long nowNanos) {
-        ServerUse use = use(server);
-        return use.busy(fleetLoad.inFlightOfOthers(use.code()), nowNanos);
+        ServerStats use = stats(server);
+        return use.estimatedLoad(fleetLoad.inFlightOfOthers(use.code()), nowNanos);
     }
 
     private Optional<BackendServer> best(
@@ -135,20 +136,20 @@
 
     /** Returns what the choice of a server goes by at this time. */
     public ChoiceInputs inputs(BackendServer server, long nowNanos) {
-        ServerBelief belief = beliefs.belief(use(server).key(), nowNanos);
+        HealthEstimate belief = beliefs.estimate(stats(server).key(), nowNanos);
         return new ChoiceInputs(
-                belief.sicknessAt(nowNanos),
+                belief.unhealthyProbabilityAt(nowNanos),
                 Duration.ofNanos(Math.max(0, nowNanos - belief.atNanos())),
                 busy(server, nowNanos));
     }
 
     /** Returns the expected loss of sending a request to the server, as a share of its worth. */
     double loss(BackendServer server, RequestKind kind, boolean isLastChance, long nowNanos) {
-        double failure =
-                SICK_FAILURE_SHARE * beliefs.belief(use(server).key(), nowNanos).sicknessAt(nowNanos);
+        double failure = SICK_FAILURE_SHARE
+                * beliefs.estimate(stats(server).key(), nowNanos).unhealthyProbabilityAt(nowNanos);
         double loss = failure * (isLastChance ? LAST_FAILURE_LOSS : REPEATABLE_FAILURE_LOSS);
         loss += loadLoss(busy(server, nowNanos), server.slots());
-        loss += use(server).isPathAvoided(nowNanos) ? BROKEN_PATH_LOSS : 0;
+        loss += stats(server).isInBackoff(nowNanos) ? BROKEN_PATH_LOSS : 0;
         if (!server.dataCentre().equals(dataCentre)) {
             loss += kind == RequestKind.LARGE_ANSWER ? REMOTE_LARGE_LOSS : REMOTE_LOSS;
         }
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimit.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimiter.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /** Allows a number of events in each second. */
-final class RateLimit {
+final class RateLimiter {
     private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final int perSecond;
     private long secondStartNanos = System.nanoTime();
     private int taken;
 
-    RateLimit(int perSecond) {
+    RateLimiter(int perSecond) {
         this.perSecond = perSecond;
     }
 
-    synchronized boolean tryTake() {
+    synchronized boolean tryAcquire() {
         long now = System.nanoTime();
         if (now - secondStartNanos >= SECOND_NANOS) {
             secondStartNanos = now;
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
@@ -1,11 +1,11 @@
 package io.coppershelf.floor.internal;
 
-import io.coppershelf.floor.internal.FloorMessage.OutReport;
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightReply;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
-import io.coppershelf.floor.internal.FloorMessage.RightRevoked;
-import io.coppershelf.floor.internal.FloorMessage.Verdict;
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantReply;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantResult;
+import io.coppershelf.floor.internal.FloorMessage.GrantRevocation;
+import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import io.coppershelf.floor.internal.FloorMessage.VoteReply;
 import io.coppershelf.floor.internal.FloorMessage.VoteRequest;
 import io.coppershelf.peer.FunctionCodec;
@@ -51,17 +51,17 @@
                 in -> new VoteReply(in.unpackString(), in.unpackLong(), in.unpackLong(), in.unpackBoolean()));
     }
 
-    private static PeerMessageCodec<RightRequest> rightRequest() {
+    private static PeerMessageCodec<GrantRequest> rightRequest() {
         return new FunctionCodec<>(
                 82,
-                RightRequest.class,
+                GrantRequest.class,
                 (m, out) -> out.packString(m.service())
                         .packString(m.server())
                         .packLong(m.sequence())
                         .packBoolean(m.live())
                         .packLong(m.ticket())
                         .packInt(m.allowance()),
-                in -> new RightRequest(
+                in -> new GrantRequest(
                         in.unpackString(),
                         in.unpackString(),
                         in.unpackLong(),
@@ -70,53 +70,53 @@
                         in.unpackInt()));
     }
 
-    private static PeerMessageCodec<RightReply> rightReply() {
+    private static PeerMessageCodec<GrantReply> rightReply() {
         return new FunctionCodec<>(
                 83,
-                RightReply.class,
+                GrantReply.class,
                 (m, out) -> out.packString(m.service())
                         .packString(m.server())
                         .packLong(m.sequence())
                         .packString(m.verdict().name())
                         .packString(m.granter()),
-                in -> new RightReply(
+                in -> new GrantReply(
                         in.unpackString(), in.unpackString(), in.unpackLong(), readVerdict(in), in.unpackString()));
     }
 
-    private static PeerMessageCodec<RightRelease> rightRelease() {
+    private static PeerMessageCodec<GrantRelease> rightRelease() {
         return new FunctionCodec<>(
                 84,
-                RightRelease.class,
+                GrantRelease.class,
                 (m, out) -> out.packString(m.service()).packString(m.server()).packLong(m.sequence()),
-                in -> new RightRelease(in.unpackString(), in.unpackString(), in.unpackLong()));
+                in -> new GrantRelease(in.unpackString(), in.unpackString(), in.unpackLong()));
     }
 
-    private static PeerMessageCodec<RightRevoked> rightRevoked() {
+    private static PeerMessageCodec<GrantRevocation> rightRevoked() {
         return new FunctionCodec<>(
                 85,
-                RightRevoked.class,
+                GrantRevocation.class,
                 (m, out) -> out.packString(m.service()).packString(m.server()),
-                in -> new RightRevoked(in.unpackString(), in.unpackString()));
+                in -> new GrantRevocation(in.unpackString(), in.unpackString()));
     }
 
-    private static PeerMessageCodec<OutReport> outReport() {
+    private static PeerMessageCodec<OutOfServiceReport> outReport() {
         return new FunctionCodec<>(
                 86,
-                OutReport.class,
+                OutOfServiceReport.class,
                 (m, out) -> {
                     out.packString(m.service());
                     writeStrings(m.servers(), out);
                 },
-                in -> new OutReport(in.unpackString(), readStrings(in)));
+                in -> new OutOfServiceReport(in.unpackString(), readStrings(in)));
     }
 
-    private static Verdict readVerdict(MessageUnpacker in) throws IOException {
+    private static GrantResult readVerdict(MessageUnpacker in) throws IOException {
         String name = in.unpackString();
-        return Arrays.stream(Verdict.values())
+        return Arrays.stream(GrantResult.values())
                 .filter(verdict -> verdict.name().equals(name))
                 .findFirst()
                 .orElseThrow(() -> new IOException(
-                        "verdict \"" + name + "\", expected one of " + Arrays.toString(Verdict.values())));
+                        "verdict \"" + name + "\", expected one of " + Arrays.toString(GrantResult.values())));
     }
 
     private static void writeStrings(List<String> strings, MessagePacker out) throws IOException {
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
@@ -1,12 +1,12 @@
 package io.coppershelf.floor.internal;
 
 import io.coppershelf.floor.internal.FloorAction.Send;
-import io.coppershelf.floor.internal.FloorMessage.OutReport;
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightReply;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
-import io.coppershelf.floor.internal.FloorMessage.RightRevoked;
-import io.coppershelf.floor.internal.FloorMessage.Verdict;
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantReply;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantResult;
+import io.coppershelf.floor.internal.FloorMessage.GrantRevocation;
+import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import io.coppershelf.floor.internal.FloorMessage.VoteReply;
 import io.coppershelf.floor.internal.FloorMessage.VoteRequest;
 import io.coppershelf.floor.internal.LeaseVoter.Candidate;
@@ -26,8 +26,8 @@
     private final String self;
     private final long incarnation;
     private final LeaseVoter voter;
-    private final RightsHolder holder;
-    private final OutReports outReports = new OutReports();
+    private final GrantHolder holder;
+    private final OutOfServiceReports outReports = new OutOfServiceReports();
     private final Map<String, Granter> granters = new TreeMap<>();
     private final Map<String, VoterSet> voterSets = new HashMap<>();
     private FleetView view;
@@ -41,7 +41,7 @@
         this.self = view.self().id();
         this.incarnation = view.self().incarnation();
         this.voter = new LeaseVoter(nowNanos);
-        this.holder = new RightsHolder(incarnation);
+        this.holder = new GrantHolder(incarnation);
         this.lastTickNanos = nowNanos;
     }
 
@@ -51,7 +51,7 @@
         List<String> known = List.copyOf(voterSets.keySet());
         voterSets.clear();
         for (String service : known) {
-            voter.observe(service, voters(service), nowNanos);
+            voter.updateVoterSet(service, voters(service), nowNanos);
         }
         granters.forEach((service, granter) -> granter.lease().changeVoters(voters(service)));
     }
@@ -61,16 +61,16 @@
         configuration = now;
         List<FloorAction> actions = new ArrayList<>(holder.onRules(this::rules, this::voters));
         granters.forEach((service, granter) -> {
-            for (GrantLedger.Grant grant : granter.excess(rules(service), nowNanos)) {
-                actions.add(new Send(grant.holder(), new RightRevoked(service, grant.server())));
+            for (GrantTable.Grant grant : granter.excess(rules(service), nowNanos)) {
+                actions.add(new Send(grant.holder(), new GrantRevocation(service, grant.server())));
             }
         });
         return actions;
     }
 
     /** Asks for the right to eject the server, or renews it. */
-    public List<FloorAction> ask(String service, String server, long nowNanos) {
-        return holder.ask(service, server, voters(service), rules(service), nowNanos);
+    public List<FloorAction> request(String service, String server, long nowNanos) {
+        return holder.request(service, server, voters(service), rules(service), nowNanos);
     }
 
     /** Gives the right back. */
@@ -79,12 +79,12 @@
     }
 
     /** Tells that a server is out of service for another reason than ejection. */
-    public List<FloorAction> reportOut(String service, String server, boolean out, long nowNanos) {
+    public List<FloorAction> reportOutOfService(String service, String server, boolean out, long nowNanos) {
         return outReports.change(service, server, out, voters(service), nowNanos);
     }
 
     /** Makes this VM a candidate for granter of the service, if it is the best-ranked voter that answers. */
-    public void stand(String service) {
+    public void becomeCandidateIfBestRanked(String service) {
         VoterSet voters = voters(service);
         if (voters.isLargeEnough() && isFirstReachable(voters)) {
             granter(service);
@@ -100,20 +100,20 @@
             onVoteReply(sender, reply, nowNanos);
             return List.of();
         }
-        if (message instanceof RightRequest request) {
+        if (message instanceof GrantRequest request) {
             return onRightRequest(sender, request, nowNanos);
         }
-        if (message instanceof RightReply reply) {
+        if (message instanceof GrantReply reply) {
             return holder.onReply(sender, reply, nowNanos);
         }
-        if (message instanceof RightRevoked revoked) {
+        if (message instanceof GrantRevocation revoked) {
             return holder.onRevoked(revoked.service(), revoked.server(), voters(revoked.service()));
         }
-        if (message instanceof RightRelease release) {
+        if (message instanceof GrantRelease release) {
             granter(release.service()).onRelease(sender, release);
             return List.of();
         }
-        OutReport report = (OutReport) message;
+        OutOfServiceReport report = (OutOfServiceReport) message;
         granter(report.service()).onReport(sender, report, nowNanos);
         return List.of();
     }
@@ -133,7 +133,7 @@
     }
 
     /** Returns whether the right of this VM to eject the server is live. */
-    public boolean isLive(String service, String server, long nowNanos) {
+    public boolean isGrantLive(String service, String server, long nowNanos) {
         return holder.isLive(service, server, nowNanos);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** Returns the services of which this VM is the granter. */
-    public List<String> granted(long nowNanos) {
+    public List<String> granterServices(long nowNanos) {
         return granters.entrySet().stream()
                 .filter(entry -> entry.getValue().lease().isHeld(nowNanos))
                 .map(Map.Entry::getKey)
@@ -154,8 +154,8 @@
     }
 
     /** Returns the number of live rights of this VM. */
-    public long liveRights(long nowNanos) {
-        return holder.liveRights(nowNanos);
+    public long liveGrants(long nowNanos) {
+        return holder.liveGrants(nowNanos);
     }
 
     private List<FloorAction> onVoteRequest(String sender, VoteRequest request, long nowNanos) {
@@ -177,14 +177,14 @@
         granter.lease().onVote(sender, reply.round(), nowNanos);
     }
 
-    private List<FloorAction> onRightRequest(String sender, RightRequest request, long nowNanos) {
+    private List<FloorAction> onRightRequest(String sender, GrantRequest request, long nowNanos) {
         String service = request.service();
-        stand(service);
+        becomeCandidateIfBestRanked(service);
         Granter granter = granters.get(service);
-        Verdict verdict =
-                granter == null ? Verdict.NOT_GRANTER : granter.decide(sender, request, rules(service), nowNanos);
-        String known = voter.holder(service, nowNanos).orElse("");
-        return List.of(new Send(sender, new RightReply(service, request.server(), request.sequence(), verdict, known)));
+        GrantResult verdict =
+                granter == null ? GrantResult.NOT_GRANTER : granter.decide(sender, request, rules(service), nowNanos);
+        String known = voter.votedFor(service, nowNanos).orElse("");
+        return List.of(new Send(sender, new GrantReply(service, request.server(), request.sequence(), verdict, known)));
     }
 
     private List<FloorAction> voteRound(String service, Granter granter, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/RightsHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantHolder.java
@@ -4,9 +4,9 @@
 import io.coppershelf.floor.internal.FloorAction.Refused;
 import io.coppershelf.floor.internal.FloorAction.Revoked;
 import io.coppershelf.floor.internal.FloorAction.Send;
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightReply;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
+import io.coppershelf.floor.internal.FloorMessage.GrantRelease;
+import io.coppershelf.floor.internal.FloorMessage.GrantReply;
+import io.coppershelf.floor.internal.FloorMessage.GrantRequest;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -17,8 +17,8 @@
 import java.util.stream.Stream;
 
 /** The rights that one VM holds and asks for, over all services. */
-public final class RightsHolder {
-    private final Map<Key, HeldRight> rights = new TreeMap<>();
+public final class GrantHolder {
+    private final Map<Key, HeldGrant> rights = new TreeMap<>();
     private final Map<String, String> granters = new HashMap<>();
     private final Map<String, ServiceRules> rules = new HashMap<>();
     private long lastSequence;
@@ -28,33 +28,34 @@
      *
      * @param incarnation the start of this VM, so that its sequence numbers are above those of earlier starts
      */
-    public RightsHolder(long incarnation) {
+    public GrantHolder(long incarnation) {
         this.lastSequence = incarnation << 20;
     }
 
     /** Asks for a right, or renews it. */
-    public List<FloorAction> ask(String service, String server, VoterSet voters, ServiceRules inForce, long nowNanos) {
+    public List<FloorAction> request(
+            String service, String server, VoterSet voters, ServiceRules inForce, long nowNanos) {
         rules.put(service, inForce);
-        HeldRight right =
-                rights.computeIfAbsent(new Key(service, server), key -> new HeldRight(service, server, nowNanos));
-        right.want(nowNanos);
-        if (right.isAwaiting() || (right.isLive(nowNanos) && !right.isRenewalDue(nowNanos))) {
+        HeldGrant right =
+                rights.computeIfAbsent(new Key(service, server), key -> new HeldGrant(service, server, nowNanos));
+        right.markRequested(nowNanos);
+        if (right.isAwaitingReply() || (right.isLive(nowNanos) && !right.isRenewalDue(nowNanos))) {
             return List.of();
         }
-        right.askInTurn(candidates(service, voters));
+        right.setCandidates(candidates(service, voters));
         return askNext(right, nowNanos);
     }
 
     /** Gives a right back. */
     public List<FloorAction> release(String service, String server, VoterSet voters) {
-        HeldRight right = rights.remove(new Key(service, server));
+        HeldGrant right = rights.remove(new Key(service, server));
         return right == null ? List.of() : releaseActions(right, voters);
     }
 
     /** Takes in an answer. */
-    public List<FloorAction> onReply(String sender, RightReply reply, long nowNanos) {
-        HeldRight right = rights.get(new Key(reply.service(), reply.server()));
-        if (right == null || !right.isAnswer(reply.sequence())) {
+    public List<FloorAction> onReply(String sender, GrantReply reply, long nowNanos) {
+        HeldGrant right = rights.get(new Key(reply.service(), reply.server()));
+        if (right == null || !right.isAwaitedReply(reply.sequence())) {
             return List.of();
         }
         return switch (reply.verdict()) {
@@ -62,7 +63,7 @@
             case REFUSED -> onRefused(sender, right, nowNanos);
             case NOT_GRANTER -> {
                 granters.remove(reply.service(), sender);
-                right.prefer(reply.granter());
+                right.prioritize(reply.granter());
                 yield askNext(right, nowNanos);
             }
         };
@@ -70,7 +71,7 @@
 
     /** Ends a right early. */
     public List<FloorAction> onRevoked(String service, String server, VoterSet voters) {
-        HeldRight right = rights.remove(new Key(service, server));
+        HeldGrant right = rights.remove(new Key(service, server));
         if (right == null) {
             return List.of();
         }
@@ -94,7 +95,7 @@
     /** Renews what is wanted, tries the next VM where an answer is overdue, and ends what has lapsed. */
     public List<FloorAction> onTick(Function<String, VoterSet> voters, long nowNanos) {
         List<FloorAction> actions = new ArrayList<>();
-        for (HeldRight right : List.copyOf(rights.values())) {
+        for (HeldGrant right : List.copyOf(rights.values())) {
             actions.addAll(onTick(right, voters, nowNanos));
         }
         return actions;
@@ -102,12 +103,12 @@
 
     /** Returns whether the right to eject the server is live. */
     public boolean isLive(String service, String server, long nowNanos) {
-        HeldRight right = rights.get(new Key(service, server));
+        HeldGrant right = rights.get(new Key(service, server));
         return right != null && right.isLive(nowNanos);
     }
 
     /** Returns the number of rights that are live. */
-    public long liveRights(long nowNanos) {
+    public long liveGrants(long nowNanos) {
         return rights.values().stream().filter(right -> right.isLive(nowNanos)).count();
     }
 
@@ -116,34 +117,39 @@
         return Optional.ofNullable(granters.get(service));
     }
 
-    private List<FloorAction> onTick(HeldRight right, Function<String, VoterSet> voters, long nowNanos) {
-        if (right.isLapsed(nowNanos)) {
+    private List<FloorAction> onTick(HeldGrant right, Function<String, VoterSet> voters, long nowNanos) {
+        if (right.isExpired(nowNanos)) {
             rights.remove(new Key(right.service(), right.server()));
             return List.of(new Revoked(right.service(), right.server()));
         }
-        if (right.isAnswerOverdue(nowNanos)) {
+        if (right.isReplyOverdue(nowNanos)) {
             granters.remove(right.service());
             return askNext(right, nowNanos);
         }
-        if (right.isLive(nowNanos) && right.isWanted(nowNanos) && right.isRenewalDue(nowNanos)) {
-            right.askInTurn(candidates(right.service(), voters.apply(right.service())));
+        if (right.isLive(nowNanos) && right.isRequestedRecently(nowNanos) && right.isRenewalDue(nowNanos)) {
+            right.setCandidates(candidates(right.service(), voters.apply(right.service())));
             return askNext(right, nowNanos);
         }
         return List.of();
     }
 
-    private List<FloorAction> askNext(HeldRight right, long nowNanos) {
-        Optional<String> target = right.next(++lastSequence, nowNanos);
+    private List<FloorAction> askNext(HeldGrant right, long nowNanos) {
+        Optional<String> target = right.nextTarget(++lastSequence, nowNanos);
         if (target.isEmpty()) {
             return refuseUnlessLive(right, nowNanos);
         }
         ServiceRules known = rules.get(right.service());
-        RightRequest request = new RightRequest(
-                right.service(), right.server(), right.sequence(), right.wasLive(), known.ticket(), known.allowance());
+        GrantRequest request = new GrantRequest(
+                right.service(),
+                right.server(),
+                right.sequence(),
+                right.wasLiveAtRequest(),
+                known.ticket(),
+                known.allowance());
         return List.of(new Send(target.get(), request));
     }
 
-    private List<FloorAction> onGranted(String sender, HeldRight right, long nowNanos) {
+    private List<FloorAction> onGranted(String sender, HeldGrant right, long nowNanos) {
         granters.put(right.service(), sender);
         if (!right.onGranted(nowNanos)) {
             return refuseUnlessLive(right, nowNanos);
@@ -151,7 +157,7 @@
         return List.of(new Granted(right.service(), right.server(), right.untilNanos()));
     }
 
-    private List<FloorAction> onRefused(String sender, HeldRight right, long nowNanos) {
+    private List<FloorAction> onRefused(String sender, HeldGrant right, long nowNanos) {
         granters.put(right.service(), sender);
         rights.remove(new Key(right.service(), right.server()));
         boolean live = right.isLive(nowNanos);
@@ -159,8 +165,8 @@
                 live ? new Revoked(right.service(), right.server()) : new Refused(right.service(), right.server()));
     }
 
-    private List<FloorAction> refuseUnlessLive(HeldRight right, long nowNanos) {
-        right.settle();
+    private List<FloorAction> refuseUnlessLive(HeldGrant right, long nowNanos) {
+        right.finishRequest();
         if (right.isLive(nowNanos)) {
             return List.of();
         }
@@ -170,7 +176,7 @@
 
     private List<FloorAction> revokeAll(String service, VoterSet voters) {
         List<FloorAction> actions = new ArrayList<>();
-        for (HeldRight right : List.copyOf(rights.values())) {
+        for (HeldGrant right : List.copyOf(rights.values())) {
             if (right.service().equals(service)) {
                 actions.addAll(onRevoked(service, right.server(), voters));
             }
@@ -178,8 +184,8 @@
         return actions;
     }
 
-    private List<FloorAction> releaseActions(HeldRight right, VoterSet voters) {
-        RightRelease release = new RightRelease(right.service(), right.server(), right.sequence());
+    private List<FloorAction> releaseActions(HeldGrant right, VoterSet voters) {
+        GrantRelease release = new GrantRelease(right.service(), right.server(), right.sequence());
         return candidates(right.service(), voters).stream()
                 .<FloorAction>map(target -> new Send(target, release))
                 .toList();
--- a/coppershelf/src/main/java/io/coppershelf/gateway/MeasuredReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/MeteredCatalogReader.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** Counts the readings of the platform by kind and outcome, and their duration. */
-final class MeasuredReader implements CatalogReader {
+final class MeteredCatalogReader implements CatalogReader {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final String COMPLETE = "complete";
     private static final String CHANGES = "changes";
@@ -21,7 +21,7 @@
     private final Counter readings;
     private final Histogram duration;
 
-    MeasuredReader(CatalogReader reader, PrometheusRegistry registry) {
+    MeteredCatalogReader(CatalogReader reader, PrometheusRegistry registry) {
         this.reader = reader;
         readings = Counter.builder()
                 .name("coppershelf_platform_readings_total")
@@ -47,9 +47,9 @@
     }
 
     @Override
-    public void readConfigurationCheaply(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure) {
+    public void readConfigurationAllowingStale(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure) {
         long startNanos = System.nanoTime();
-        reader.readConfigurationCheaply(
+        reader.readConfigurationAllowingStale(
                 revision,
                 configuration -> {
                     count(CONFIGURATION, "read", startNanos);
@@ -65,15 +65,15 @@
         long startNanos = System.nanoTime();
         return new Listener() {
             @Override
-            public void read(CatalogChange change) {
+            public void readSucceeded(CatalogChange change) {
                 count(kind, "read", startNanos);
-                listener.read(change);
+                listener.readSucceeded(change);
             }
 
             @Override
-            public void failed(Failure failure, String reason) {
+            public void readFailed(Failure failure, String reason) {
                 count(kind, failure.name().toLowerCase(Locale.ROOT), startNanos);
-                listener.failed(failure, reason);
+                listener.readFailed(failure, reason);
             }
         };
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
@@ -1,15 +1,15 @@
 package io.coppershelf.health;
 
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.health.internal.DrainSigns;
+import io.coppershelf.health.internal.DrainSources;
 import io.coppershelf.health.internal.ErrorRates;
-import io.coppershelf.health.internal.GroupTime;
+import io.coppershelf.health.internal.EventTime;
+import io.coppershelf.health.internal.MonitoredAttempt;
 import io.coppershelf.health.internal.ObservedClock;
 import io.coppershelf.health.internal.ServerEvidence.Finding;
 import io.coppershelf.health.internal.ServerHealth;
 import io.coppershelf.health.internal.StallDetector;
-import io.coppershelf.health.internal.UsualTimes;
-import io.coppershelf.health.internal.WatchedTry;
+import io.coppershelf.health.internal.TypicalServiceTimes;
 import io.coppershelf.ticket.ServerSpec;
 import io.coppershelf.ticket.ServiceSpec;
 import java.time.Duration;
@@ -28,7 +28,7 @@
  * <pre>{@code
  * health.advance(now);
  * health.dispatched("try-1", "rotavis-3", "rotavis/week", true, now);
- * health.ended("try-1", "rotavis-3", TryEnd.ANSWERED, ServerState.READY, now);
+ * health.ended("try-1", "rotavis-3", AttemptEnd.ANSWERED, ServerState.READY, now);
  * health.tick(now);
  * int slots = health.allowedSlots(spec, now);
  * }</pre>
@@ -45,11 +45,11 @@
     private final HealthCommands commands;
     private final Function<ServiceSpec, HealthPolicy> policies;
     private final ObservedClock clock = new ObservedClock();
-    private final UsualTimes usualTimes = new UsualTimes();
+    private final TypicalServiceTimes usualTimes = new TypicalServiceTimes();
     private final ErrorRates errorRates = new ErrorRates();
     private final Map<String, ServerHealth> servers = new TreeMap<>();
     private final Map<String, Long> lastHeardNanos = new TreeMap<>();
-    private final DrainSigns drainSigns = new DrainSigns();
+    private final DrainSources drainSigns = new DrainSources();
 
     private boolean configured;
     private long sharedNanos;
@@ -78,7 +78,7 @@
             boolean joined = !servers.containsKey(spec.name());
             ServerHealth server =
                     servers.computeIfAbsent(spec.name(), name -> new ServerHealth(name, policy, commands, nowNanos));
-            server.apply(policy);
+            server.setPolicy(policy);
             if (joined && configured) {
                 server.startCold(time(nowNanos));
             }
@@ -91,9 +91,9 @@
     private void forget(String server) {
         servers.remove(server);
         lastHeardNanos.remove(server);
-        drainSigns.forget(server);
-        usualTimes.forget(server);
-        errorRates.forget(server);
+        drainSigns.remove(server);
+        usualTimes.remove(server);
+        errorRates.remove(server);
     }
 
     private void applyTicketDrain(ServerSpec spec, ServerHealth server, long nowNanos) {
@@ -105,18 +105,18 @@
     }
 
     /** Takes in that a try was sent to a server. */
-    public void dispatched(String tryId, String server, String route, boolean idempotent, long nowNanos) {
-        WatchedTry watched = new WatchedTry(tryId, route, idempotent, nowNanos, clock.observedNanos());
+    public void dispatched(String attemptId, String server, String route, boolean idempotent, long nowNanos) {
+        MonitoredAttempt watched = new MonitoredAttempt(attemptId, route, idempotent, nowNanos, clock.observedNanos());
         find(server).ifPresent(health -> health.dispatched(watched, nowNanos));
     }
 
     /** Takes in how a try ended and what the server said of itself. */
-    public void ended(String tryId, String server, TryEnd end, ServerState state, long nowNanos) {
+    public void ended(String attemptId, String server, AttemptEnd end, ServerState state, long nowNanos) {
         Optional<ServerHealth> health = find(server);
         if (health.isEmpty()) {
             return;
         }
-        Optional<WatchedTry> watched = health.get().evidence().ended(tryId);
+        Optional<MonitoredAttempt> watched = health.get().evidence().ended(attemptId);
         hearOfPath(server, health.get(), end, state, nowNanos);
         hear(server, health.get(), state, nowNanos);
         watched.filter(known -> isTelling(known, health.get(), nowNanos))
@@ -124,24 +124,24 @@
         evaluate(server, health.get(), nowNanos);
     }
 
-    private void hearOfPath(String server, ServerHealth health, TryEnd end, ServerState state, long nowNanos) {
-        if (end == TryEnd.ANSWERED || state != ServerState.UNSTATED) {
+    private void hearOfPath(String server, ServerHealth health, AttemptEnd end, ServerState state, long nowNanos) {
+        if (end == AttemptEnd.ANSWERED || state != ServerState.UNSTATED) {
             lastHeardNanos.put(server, nowNanos);
-            health.path().answered();
-        } else if (end == TryEnd.NOT_CONNECTED) {
-            health.path().connectFailed();
+            health.path().recordAnswer();
+        } else if (end == AttemptEnd.NOT_CONNECTED) {
+            health.path().recordConnectFailure();
         }
     }
 
-    private boolean isTelling(WatchedTry watched, ServerHealth health, long nowNanos) {
+    private boolean isTelling(MonitoredAttempt watched, ServerHealth health, long nowNanos) {
         return !watched.isIgnored()
                 && watched.unobservedNanos(nowNanos, clock.observedNanos()) <= UNOBSERVED_LIMIT_NANOS
                 && health.condition() != ServerCondition.DRAINING;
     }
 
-    private void judge(String server, ServerHealth health, WatchedTry watched, TryEnd told, long nowNanos) {
+    private void judge(String server, ServerHealth health, MonitoredAttempt watched, AttemptEnd told, long nowNanos) {
         long age = watched.ageNanos(clock.observedNanos());
-        TryEnd end = watched.isCancelled() && told != TryEnd.ANSWERED ? TryEnd.TIMED_OUT : told;
+        AttemptEnd end = watched.isCancelled() && told != AttemptEnd.ANSWERED ? AttemptEnd.TIMED_OUT : told;
         switch (end) {
             case ANSWERED -> judgeAnswer(server, health, watched, age, nowNanos);
             case FAILED -> judgeError(server, health, watched, nowNanos);
@@ -150,30 +150,31 @@
         }
     }
 
-    private void judgeAnswer(String server, ServerHealth health, WatchedTry watched, long age, long nowNanos) {
-        health.evidence().answered(watched, clock.observedNanos());
+    private void judgeAnswer(String server, ServerHealth health, MonitoredAttempt watched, long age, long nowNanos) {
+        health.evidence().markOvertaken(watched, clock.observedNanos());
         usualTimes
-                .usualOfPeers(watched.route(), server)
-                .ifPresent(usual -> health.answered(age, usual, time(nowNanos)));
-        health.finished(watched.route(), false, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
+                .typicalOfPeers(watched.route(), server)
+                .ifPresent(usual -> health.recordAnswer(age, usual, time(nowNanos)));
+        health.recordError(watched.route(), false, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
         errorRates.record(server, watched.route(), false);
         if (health.condition() == ServerCondition.IN_SERVICE) {
             usualTimes.record(server, watched.route(), age);
         }
     }
 
-    private void judgeError(String server, ServerHealth health, WatchedTry watched, long nowNanos) {
-        health.finished(watched.route(), true, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
+    private void judgeError(String server, ServerHealth health, MonitoredAttempt watched, long nowNanos) {
+        health.recordError(watched.route(), true, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
         errorRates.record(server, watched.route(), true);
     }
 
-    private void judgeTimeout(String server, ServerHealth health, WatchedTry watched, long nowNanos) {
+    private void judgeTimeout(String server, ServerHealth health, MonitoredAttempt watched, long nowNanos) {
         double surprise = usualTimes
-                .usual(watched.route())
-                .map(usual -> StallDetector.surprise(watched, usual.slowedBy(health.slowness()), clock.observedNanos()))
+                .typical(watched.route())
+                .map(usual ->
+                        StallDetector.surprisal(watched, usual.slowedBy(health.slowness()), clock.observedNanos()))
                 .orElse(0.0);
         if (surprise >= TIMEOUT_NATS) {
-            health.timedOut(surprise, time(nowNanos));
+            health.recordTimeout(surprise, time(nowNanos));
             errorRates.record(server, watched.route(), true);
         }
     }
@@ -182,10 +183,10 @@
     public void probeEnded(String server, Optional<ServerState> state, long nowNanos) {
         find(server).ifPresent(health -> {
             if (state.isEmpty()) {
-                health.path().probeFailed();
+                health.path().recordProbeFailure();
             } else {
                 lastHeardNanos.put(server, nowNanos);
-                health.path().answered();
+                health.path().recordAnswer();
                 hear(server, health, state.get(), nowNanos);
             }
             evaluate(server, health, nowNanos);
@@ -195,36 +196,36 @@
     private void hear(String server, ServerHealth health, ServerState state, long nowNanos) {
         switch (state) {
             case DRAINING -> {
-                drainSigns.stateDraining(server, nowNanos);
+                drainSigns.reportDraining(server, nowNanos);
                 health.drain("draining by its own word", time(nowNanos));
             }
             case COLD -> {
                 endOwnDrain(server, health, nowNanos);
-                health.stateCold(time(nowNanos));
+                health.reportCold(time(nowNanos));
             }
             case READY -> {
                 endOwnDrain(server, health, nowNanos);
-                health.stateReady();
+                health.reportReady();
             }
             case UNSTATED, SHEDDING -> {}
         }
     }
 
     private void endOwnDrain(String server, ServerHealth health, long nowNanos) {
-        if (!drainSigns.stateRunning(server, nowNanos)) {
+        if (!drainSigns.reportNotDraining(server, nowNanos)) {
             health.endDrain(time(nowNanos));
         }
     }
 
     /** Takes in the usual times that another owner of the service sees. */
-    public void baselineHeard(String sender, Map<String, Long> usualNanos, long nowNanos) {
-        usualTimes.hear(sender, usualNanos, nowNanos);
+    public void serviceTimesReceived(String sender, Map<String, Long> usualNanos, long nowNanos) {
+        usualTimes.recordReported(sender, usualNanos, nowNanos);
     }
 
     /** Takes in whether another VM reaches the server. */
-    public void reachabilityHeard(String server, boolean reachable, long nowNanos) {
+    public void reachabilityReported(String server, boolean reachable, long nowNanos) {
         find(server).ifPresent(health -> {
-            health.path().heard(reachable, nowNanos);
+            health.path().recordPeerReport(reachable, nowNanos);
             evaluate(server, health, nowNanos);
         });
     }
@@ -243,9 +244,9 @@
 
     /** Judges all servers; to be called at least every 50 ms. */
     public void tick(long nowNanos) {
-        usualTimes.tick(nowNanos);
+        usualTimes.expireReported(nowNanos);
         servers.forEach((name, server) -> {
-            server.evidence().fade(clock.observedNanos());
+            server.evidence().decay(clock.observedNanos());
             evaluate(name, server, nowNanos);
             probeIfQuiet(name, nowNanos);
         });
@@ -253,7 +254,7 @@
             sharedNanos = nowNanos;
             Map<String, Long> medians = usualTimes.ownMedians();
             if (!medians.isEmpty()) {
-                commands.shareUsualTimes(medians);
+                commands.shareServiceTimes(medians);
             }
         }
     }
@@ -294,7 +295,7 @@
     }
 
     /** Returns a server in suspicion or probation that is to be tried with idempotent work. */
-    public Optional<String> trialDue(long nowNanos) {
+    public Optional<String> findServerDueForTrial(long nowNanos) {
         return servers.entrySet().stream()
                 .filter(entry -> entry.getValue().isTrialDue(nowNanos))
                 .map(Map.Entry::getKey)
@@ -317,12 +318,12 @@
     }
 
     /** Returns the names of all servers. */
-    public Collection<String> names() {
+    public Collection<String> serverNames() {
         return servers.keySet();
     }
 
-    private GroupTime time(long nowNanos) {
-        return new GroupTime(nowNanos, clock.observedNanos());
+    private EventTime time(long nowNanos) {
+        return new EventTime(nowNanos, clock.observedNanos());
     }
 
     private Optional<ServerHealth> find(String server) {
--- a/coppershelf/src/main/java/io/coppershelf/belief/ServerBelief.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimate.java
@@ -1,4 +1,4 @@
-package io.coppershelf.belief;
+package io.coppershelf.health.estimate;
 
 import java.util.concurrent.TimeUnit;
 
@@ -6,11 +6,11 @@
  * The probability that a server is sick, by a hidden Markov model with two states: well servers turn sick and sick ones
  * recover at constant rates, and each observation weighs by its likelihood in either state. Immutable.
  *
- * @param sickness the probability at the time of the last observation, between 0 and 1
+ * @param unhealthyProbability the probability at the time of the last observation, between 0 and 1
  * @param atNanos the monotonic time of the last observation
  * @param failedNanos the monotonic time of the last bad observation, {@link Long#MIN_VALUE} before the first
  */
-public record ServerBelief(double sickness, long atNanos, long failedNanos) {
+public record HealthEstimate(double unhealthyProbability, long atNanos, long failedNanos) {
     /** Mean time that a server stays sick, in seconds; gray failures of the workloads last several seconds. */
     static final double MEAN_SICK_SECONDS = 10;
     /** Mean time that a server stays well, in seconds; at any time up to a quarter of the servers fail grayly. */
@@ -33,41 +33,41 @@
     private static final double UNCERTAIN = 0.1;
 
     /** Returns the belief in a server without observations. */
-    public static ServerBelief initial(long nowNanos) {
-        return new ServerBelief(BASE_SICKNESS, nowNanos, Long.MIN_VALUE);
+    public static HealthEstimate initial(long nowNanos) {
+        return new HealthEstimate(BASE_SICKNESS, nowNanos, Long.MIN_VALUE);
     }
 
     /** Returns the belief after an observation. */
-    public ServerBelief after(Observation observation, long nowNanos) {
-        double before = sicknessAt(nowNanos);
+    public HealthEstimate after(Observation observation, long nowNanos) {
+        double before = unhealthyProbabilityAt(nowNanos);
         double odds = before / (1 - before) * observation.likelihoodRatio();
         double after = Math.min(HIGHEST, Math.max(LOWEST, odds / (1 + odds)));
-        return new ServerBelief(after, nowNanos, observation.isBad() ? nowNanos : failedNanos);
+        return new HealthEstimate(after, nowNanos, observation.isNegative() ? nowNanos : failedNanos);
     }
 
     /** Returns the probability at a time; without observations it returns to the base. */
-    public double sicknessAt(long nowNanos) {
+    public double unhealthyProbabilityAt(long nowNanos) {
         double seconds = secondsSince(atNanos, nowNanos);
-        return BASE_SICKNESS + (sickness - BASE_SICKNESS) * Math.exp(-RELAXATION_PER_SECOND * seconds);
+        return BASE_SICKNESS + (unhealthyProbability - BASE_SICKNESS) * Math.exp(-RELAXATION_PER_SECOND * seconds);
     }
 
     /** Returns whether a good observation is worth telling others at a time. */
     boolean isUncertain(long nowNanos) {
-        return sicknessAt(nowNanos) >= UNCERTAIN;
+        return unhealthyProbabilityAt(nowNanos) >= UNCERTAIN;
     }
 
     /** Returns whether the server is suspected at a time. */
-    public boolean isSuspect(long nowNanos) {
-        return sicknessAt(nowNanos) >= SUSPECT;
+    public boolean isSuspected(long nowNanos) {
+        return unhealthyProbabilityAt(nowNanos) >= SUSPECT;
     }
 
     /**
      * Returns whether a request may find out how the server is: it is no more likely sick than one of which nothing is
      * known, or its last failure was so long ago that it may have recovered.
      */
-    public boolean isWorthATry(long nowNanos) {
+    public boolean allowsTrialRequest(long nowNanos) {
         boolean isOldFailure = failedNanos != Long.MIN_VALUE && secondsSince(failedNanos, nowNanos) >= RETRY_SECONDS;
-        return isOldFailure || sicknessAt(nowNanos) <= BASE_SICKNESS + TOLERANCE;
+        return isOldFailure || unhealthyProbabilityAt(nowNanos) <= BASE_SICKNESS + TOLERANCE;
     }
 
     private static double secondsSince(long fromNanos, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/belief/Observation.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/Observation.java
@@ -1,4 +1,4 @@
-package io.coppershelf.belief;
+package io.coppershelf.health.estimate;
 
 import java.util.Arrays;
 import java.util.Optional;
@@ -44,7 +44,7 @@
     }
 
     /** Returns whether the observation speaks for a sick server. */
-    public boolean isBad() {
+    public boolean isNegative() {
         return this != SUCCESS;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/WatchedTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/MonitoredAttempt.java
@@ -1,8 +1,8 @@
 package io.coppershelf.health.internal;
 
 /** A try in flight as the health of its server sees it. */
-public final class WatchedTry {
-    private final String tryId;
+public final class MonitoredAttempt {
+    private final String attemptId;
     private final String route;
     private final boolean idempotent;
     private final long dispatchedNanos;
@@ -12,8 +12,8 @@
     private boolean ignored;
 
     /** Returns a try that was dispatched at the given monotonic and observed times. */
-    public WatchedTry(String tryId, String route, boolean idempotent, long nowNanos, long observedNanos) {
-        this.tryId = tryId;
+    public MonitoredAttempt(String attemptId, String route, boolean idempotent, long nowNanos, long observedNanos) {
+        this.attemptId = attemptId;
         this.route = route;
         this.idempotent = idempotent;
         this.dispatchedNanos = nowNanos;
@@ -21,8 +21,8 @@
     }
 
     /** Returns the id of the try. */
-    public String tryId() {
-        return tryId;
+    public String attemptId() {
+        return attemptId;
     }
 
     /** Returns the request kind. */
@@ -46,12 +46,12 @@
     }
 
     /** Counts an answer of the same kind to a later try on the same server. */
-    public void overtake() {
+    public void recordOvertaken() {
         overtaken++;
     }
 
     /** Returns the number of answers of the same kind to later tries on the same server. */
-    public int overtaken() {
+    public int overtakenCount() {
         return overtaken;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
@@ -22,7 +22,7 @@
     private final HealthCommands commands;
     private final ServerEvidence evidence = new ServerEvidence();
     private final PathCheck path = new PathCheck();
-    private final HoldTime holdTime = new HoldTime();
+    private final EjectionBackoff holdTime = new EjectionBackoff();
     private final ColdStart coldStart = new ColdStart();
     private final EjectionRight right = new EjectionRight();
 
@@ -46,12 +46,12 @@
     }
 
     /** Sets the limits of evidence. */
-    public void apply(HealthPolicy newPolicy) {
+    public void setPolicy(HealthPolicy newPolicy) {
         policy = newPolicy;
     }
 
     /** Begins a cold start, unless the server is out of service. */
-    public void startCold(GroupTime time) {
+    public void startCold(EventTime time) {
         if (condition == ServerCondition.IN_SERVICE || condition == ServerCondition.SUSPECTED) {
             coldStart.begin(time.nowNanos());
             evidence.clear(time.observedNanos());
@@ -60,19 +60,19 @@
     }
 
     /** Takes in that the server says it is cold. */
-    public void stateCold(GroupTime time) {
-        if (coldStart.stateCold()) {
+    public void reportCold(EventTime time) {
+        if (coldStart.reportCold()) {
             startCold(time);
         }
     }
 
     /** Takes in that the server says it is ready. */
-    public void stateReady() {
-        coldStart.stateReady();
+    public void reportReady() {
+        coldStart.reportReady();
     }
 
     /** Takes the server out of service because it is leaving. */
-    public void drain(String why, GroupTime time) {
+    public void drain(String why, EventTime time) {
         if (condition != ServerCondition.DRAINING) {
             change(ServerCondition.DRAINING, why, time);
             dropRight();
@@ -80,7 +80,7 @@
     }
 
     /** Takes the server back into service after a drain. */
-    public void endDrain(GroupTime time) {
+    public void endDrain(EventTime time) {
         if (condition == ServerCondition.DRAINING) {
             evidence.clear(time.observedNanos());
             coldStart.begin(time.nowNanos());
@@ -89,7 +89,7 @@
     }
 
     /** Takes in the service time of an answer against the usual time on the server's peers. */
-    public void answered(long nanos, UsualTime usual, GroupTime time) {
+    public void recordAnswer(long nanos, TypicalServiceTime usual, EventTime time) {
         double ratio = evidence.recordAnswer(nanos, usual.slowedBy(slowness()), time.observedNanos());
         if (condition == ServerCondition.PROBATION && ratio < 0) {
             goodAnswers++;
@@ -97,7 +97,7 @@
     }
 
     /** Takes in whether the server caused an error. */
-    public void finished(String route, boolean error, double rateOfPeers, GroupTime time) {
+    public void recordError(String route, boolean error, double rateOfPeers, EventTime time) {
         evidence.errors().record(route, error, rateOfPeers, time.observedNanos());
         if (error && condition == ServerCondition.PROBATION) {
             holdAgain(time);
@@ -105,15 +105,15 @@
     }
 
     /** Takes in that a try ended without an answer, and how surprising its age was. */
-    public void timedOut(double surprise, GroupTime time) {
-        evidence.recordSilence(surprise, time.observedNanos());
+    public void recordTimeout(double surprise, EventTime time) {
+        evidence.recordTimeout(surprise, time.observedNanos());
         if (condition == ServerCondition.PROBATION) {
             holdAgain(time);
         }
     }
 
     /** Takes in that the right to eject is held until the given time. */
-    public void granted(long untilNanos, GroupTime time) {
+    public void granted(long untilNanos, EventTime time) {
         boolean out = condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION;
         if (!out && condition != ServerCondition.SUSPECTED) {
             commands.releaseEjection(server);
@@ -126,13 +126,13 @@
     }
 
     /** Takes in that the right to eject ended early. */
-    public void revoked(GroupTime time) {
+    public void revoked(EventTime time) {
         right.revoke(time.nowNanos());
         returnToSuspicion("right to eject revoked", time);
     }
 
     /** Ends an ejection whose right has lapsed. */
-    public void expireRight(GroupTime time) {
+    public void expireRight(EventTime time) {
         if (!right.isHeld(time.nowNanos())) {
             returnToSuspicion("right to eject lapsed", time);
         }
@@ -144,7 +144,7 @@
      * @param finding the evidence at hand
      * @param common whether all other servers of the group are suspected as well
      */
-    public void evaluate(Finding finding, boolean common, GroupTime time) {
+    public void evaluate(Finding finding, boolean common, EventTime time) {
         expireRight(time);
         switch (condition) {
             case IN_SERVICE, COLD -> evaluateInService(finding, time);
@@ -155,20 +155,20 @@
         }
     }
 
-    private void evaluateInService(Finding finding, GroupTime time) {
+    private void evaluateInService(Finding finding, EventTime time) {
         if (condition == ServerCondition.COLD && coldStart.isOver(time.nowNanos())) {
             change(ServerCondition.IN_SERVICE, "warm", time);
         }
         if (finding.nats() < suspicionNats() && path.verdict(time.nowNanos()) != Verdict.BROKEN) {
-            holdTime.recover(time.nowNanos());
+            holdTime.recordHealthy(time.nowNanos());
             return;
         }
-        path.restart();
+        path.reset();
         change(ServerCondition.SUSPECTED, finding.cause(), time);
         checkPath(time);
     }
 
-    private void evaluateSuspected(Finding finding, boolean common, GroupTime time) {
+    private void evaluateSuspected(Finding finding, boolean common, EventTime time) {
         Verdict verdict = path.verdict(time.nowNanos());
         if (verdict == Verdict.CLEAR && finding.nats() < suspicionNats() * HYSTERESIS) {
             change(ServerCondition.IN_SERVICE, "recovered", time);
@@ -183,8 +183,8 @@
         wantsTrial = verdict == Verdict.CLEAR && !strong;
         boolean early = common && time.nowNanos() - sinceNanos < COMMON_SUSPICION_NANOS;
         boolean reached = verdict == Verdict.CLEAR || verdict == Verdict.DOWN;
-        if (strong && reached && !early && right.shouldAsk(time.nowNanos())) {
-            commands.askEjection(server, reason);
+        if (strong && reached && !early && right.shouldRequest(time.nowNanos())) {
+            commands.requestEjection(server, reason);
         }
     }
 
@@ -196,13 +196,13 @@
         };
     }
 
-    private void checkPath(GroupTime time) {
+    private void checkPath(EventTime time) {
         probedNanos = time.nowNanos();
         commands.probe(server);
-        commands.askReachability(server);
+        commands.queryReachability(server);
     }
 
-    private void evaluateEjected(GroupTime time) {
+    private void evaluateEjected(EventTime time) {
         renewRight(time);
         if (time.nowNanos() - holdUntilNanos >= 0) {
             evidence.clear(time.observedNanos());
@@ -211,7 +211,7 @@
         }
     }
 
-    private void evaluateProbation(Finding finding, GroupTime time) {
+    private void evaluateProbation(Finding finding, EventTime time) {
         renewRight(time);
         if (finding.nats() >= suspicionNats()) {
             holdAgain(time);
@@ -226,35 +226,36 @@
         return trialNanos - sinceNanos < 0 && nowNanos - sinceNanos >= UNTRIED_LIMIT_NANOS;
     }
 
-    private void renewRight(GroupTime time) {
-        if (right.shouldAsk(time.nowNanos())) {
-            commands.askEjection(server, reason);
+    private void renewRight(EventTime time) {
+        if (right.shouldRequest(time.nowNanos())) {
+            commands.requestEjection(server, reason);
         }
     }
 
-    private void holdAgain(GroupTime time) {
+    private void holdAgain(EventTime time) {
         hold("probation failed", time);
     }
 
-    private void hold(String why, GroupTime time) {
-        holdUntilNanos = time.nowNanos() + holdTime.eject(time.nowNanos()).toNanos();
+    private void hold(String why, EventTime time) {
+        holdUntilNanos =
+                time.nowNanos() + holdTime.nextDuration(time.nowNanos()).toNanos();
         change(ServerCondition.EJECTED, why, time);
     }
 
-    private void returnToSuspicion(String why, GroupTime time) {
+    private void returnToSuspicion(String why, EventTime time) {
         if (condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION) {
-            evidence.suppose(policy.ejectionNats(), time.observedNanos());
+            evidence.setSlowness(policy.ejectionNats(), time.observedNanos());
             change(ServerCondition.SUSPECTED, why, time);
         }
     }
 
     private void dropRight() {
-        if (right.drop()) {
+        if (right.release()) {
             commands.releaseEjection(server);
         }
     }
 
-    private void change(ServerCondition to, String why, GroupTime time) {
+    private void change(ServerCondition to, String why, EventTime time) {
         if (condition != to) {
             commands.conditionChanged(server, condition, to, why);
             sinceNanos = time.nowNanos();
@@ -264,16 +265,16 @@
     }
 
     /** Cancels the tries that are overdue on a sick server and may be repeated. */
-    public void cancelOverdue(Finding finding, UsualTimes usualTimes, long observedNanos) {
+    public void cancelOverdue(Finding finding, TypicalServiceTimes usualTimes, long observedNanos) {
         boolean sick = condition == ServerCondition.EJECTED
                 || condition == ServerCondition.PROBATION
                 || (condition == ServerCondition.SUSPECTED && finding.nats() >= ejectionNats());
         if (!sick) {
             return;
         }
-        OverdueTries.of(evidence, usualTimes, observedNanos).stream()
-                .filter(WatchedTry::markCancelled)
-                .forEach(watched -> commands.cancel(watched.tryId(), server));
+        OverdueAttempts.of(evidence, usualTimes, observedNanos).stream()
+                .filter(MonitoredAttempt::markCancelled)
+                .forEach(watched -> commands.cancel(watched.attemptId(), server));
     }
 
     /** Returns the slots that new work may use, 0 if the server gets none. */
@@ -298,7 +299,7 @@
     }
 
     /** Takes in that a try was sent. */
-    public void dispatched(WatchedTry watched, long nowNanos) {
+    public void dispatched(MonitoredAttempt watched, long nowNanos) {
         evidence.dispatched(watched);
         trialNanos = nowNanos;
     }
@@ -338,6 +339,6 @@
     }
 
     private double historyFactor() {
-        return holdTime.hasHistory() ? policy.historyFactor() : 1.0;
+        return holdTime.wasRecentlyEjected() ? policy.historyFactor() : 1.0;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
@@ -1,6 +1,6 @@
 package io.coppershelf.membership;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.component.ComponentKey;
 import java.util.List;
 import java.util.Optional;
 
@@ -22,7 +22,7 @@
      * Returns whether the live VMs are more than half of all that should be there: those count as well that peers say
      * are gone and that neither left nor were dropped from the platform's list. In a split, one side at most has it.
      */
-    default boolean isMajority() {
+    default boolean hasMajority() {
         return true;
     }
 
@@ -45,13 +45,13 @@
      * @param key what is to be placed
      * @param limit the most VMs to return
      */
-    default List<Vm> rankedByList(String key, int limit) {
+    default List<Vm> rankedPublished(String key, int limit) {
         return ranked(key, "", limit);
     }
 
     /** Where traffic threads read the view in force. */
     interface Source {
-        ServiceName<Source> NAME = ServiceName.named("fleet", Source.class);
+        ComponentKey<Source> NAME = ComponentKey.named("fleet", Source.class);
 
         /** Returns the latest snapshot. */
         FleetView current();
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
@@ -1,22 +1,22 @@
 package io.coppershelf.membership.internal;
 
 import io.coppershelf.membership.Vm;
+import io.coppershelf.membership.internal.MembershipAction.IndirectProbe;
 import io.coppershelf.membership.internal.MembershipAction.Join;
 import io.coppershelf.membership.internal.MembershipAction.Probe;
-import io.coppershelf.membership.internal.MembershipAction.ProbeThrough;
 import io.coppershelf.membership.internal.MembershipAction.Publish;
 import io.coppershelf.membership.internal.MembershipAction.Pull;
-import io.coppershelf.membership.internal.MembershipAction.TellLeaving;
-import io.coppershelf.membership.internal.MembershipAction.Told;
+import io.coppershelf.membership.internal.MembershipAction.RecordChange;
+import io.coppershelf.membership.internal.MembershipAction.SendLeave;
+import io.coppershelf.membership.internal.MembershipEvent.IndirectProbeEnded;
 import io.coppershelf.membership.internal.MembershipEvent.Introduced;
-import io.coppershelf.membership.internal.MembershipEvent.LeaveBegun;
-import io.coppershelf.membership.internal.MembershipEvent.LeaveHeard;
-import io.coppershelf.membership.internal.MembershipEvent.Listed;
+import io.coppershelf.membership.internal.MembershipEvent.LeaveReceived;
+import io.coppershelf.membership.internal.MembershipEvent.LeaveStarted;
+import io.coppershelf.membership.internal.MembershipEvent.ListReceived;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
-import io.coppershelf.membership.internal.MembershipEvent.UpdatesHeard;
-import io.coppershelf.membership.internal.MembershipEvent.VerdictHeard;
+import io.coppershelf.membership.internal.MembershipEvent.UpdatesReceived;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -50,7 +50,7 @@
 
     private final MemberTable table;
     private final GossipQueue gossip = new GossipQueue();
-    private final Accusations accusations = new Accusations();
+    private final FailedProbeReports accusations = new FailedProbeReports();
     private final Random random;
     private final ProbeOrder liveOrder;
     private final ProbeOrder goneOrder;
@@ -100,14 +100,14 @@
     List<MemberUpdate> gossipFor(String receiver) {
         List<MemberUpdate> updates = new ArrayList<>();
         table.member(receiver)
-                .filter(member -> !member.is(MemberStatus.ALIVE))
+                .filter(member -> !member.hasStatus(MemberStatus.ALIVE))
                 .ifPresent(member -> updates.add(member.update()));
-        updates.addAll(gossip.next(table.liveCount() + 1));
+        updates.addAll(gossip.nextUpdates(table.liveCount() + 1));
         return updates;
     }
 
     /** Returns all statements, for a VM that joins or repairs its knowledge. */
-    List<MemberUpdate> everything() {
+    List<MemberUpdate> allUpdates() {
         List<MemberUpdate> all = table.updates();
         all.add(self);
         return all;
@@ -134,7 +134,7 @@
     }
 
     /** Takes in one event. */
-    List<MembershipAction> on(MembershipEvent event, long nowNanos) {
+    List<MembershipAction> handle(MembershipEvent event, long nowNanos) {
         List<MembershipAction> actions = new ArrayList<>();
         long before = table.version();
         MemberUpdate selfBefore = self;
@@ -152,17 +152,17 @@
             answered(answered, nowNanos, actions);
         } else if (event instanceof ProbeFailed failed) {
             failed(failed, nowNanos, actions);
-        } else if (event instanceof VerdictHeard verdict) {
+        } else if (event instanceof IndirectProbeEnded verdict) {
             verdictHeard(verdict, nowNanos, actions);
-        } else if (event instanceof UpdatesHeard heard) {
+        } else if (event instanceof UpdatesReceived heard) {
             heard.updates().forEach(update -> merge(update, nowNanos, actions));
         } else if (event instanceof Introduced introduced) {
             introduced(introduced.sender(), actions);
-        } else if (event instanceof Listed listed) {
+        } else if (event instanceof ListReceived listed) {
             listed(listed, nowNanos, actions);
-        } else if (event instanceof LeaveHeard leave) {
+        } else if (event instanceof LeaveReceived leave) {
             leaveHeard(leave, actions);
-        } else if (event instanceof LeaveBegun) {
+        } else if (event instanceof LeaveStarted) {
             leaveBegun(actions);
         }
     }
@@ -185,19 +185,19 @@
         if (nowNanos - lastRevivalNanos >= REVIVAL_INTERVAL_NANOS) {
             lastRevivalNanos = nowNanos;
             goneOrder
-                    .next(table::revivableIds, table::isRevivable)
+                    .next(table::recoverableIds, table::isRecoverable)
                     .ifPresent(id -> actions.add(new Probe(table.require(id).probeTarget())));
         }
         if (nowNanos - judgesFromNanos >= 0) {
             confirmSuspects(nowNanos, actions);
         }
-        table.forgetOld(nowNanos);
+        table.removeOld(nowNanos);
     }
 
     private void afterPause(long nowNanos, List<MembershipAction> actions) {
         judgesFromNanos = nowNanos + JUDGEMENT_DELAY_NANOS;
         accusations.clearAll();
-        actions.add(new Told("This VM was paused for " + (nowNanos - lastTickNanos) / 1_000_000 + " ms."));
+        actions.add(new RecordChange("This VM was paused for " + (nowNanos - lastTickNanos) / 1_000_000 + " ms."));
     }
 
     private void confirmSuspects(long nowNanos, List<MembershipAction> actions) {
@@ -224,7 +224,7 @@
         table.member(answerer.vm().id())
                 .filter(member ->
                         member.update().vm().incarnation() == answerer.vm().incarnation())
-                .ifPresent(member -> table.answered(member, nowNanos));
+                .ifPresent(member -> table.markAnswered(member, nowNanos));
         fetchWhatIsMissing(event, nowNanos, actions);
     }
 
@@ -247,14 +247,14 @@
         if (member.isEmpty() || event.beganNanos() - judgesFromNanos < 0 || isPausedNow(nowNanos)) {
             return;
         }
-        table.unanswered(member.get());
+        table.markUnanswered(member.get());
         accusations.begin(event.target(), self.vm().id());
         List<Vm> witnesses = table.answeringOthers(event.target().id());
         Collections.shuffle(witnesses, random);
-        witnesses.stream().limit(WITNESSES).forEach(witness -> actions.add(new ProbeThrough(witness, event.target())));
+        witnesses.stream().limit(WITNESSES).forEach(witness -> actions.add(new IndirectProbe(witness, event.target())));
     }
 
-    private void verdictHeard(VerdictHeard event, long nowNanos, List<MembershipAction> actions) {
+    private void verdictHeard(IndirectProbeEnded event, long nowNanos, List<MembershipAction> actions) {
         if (event.isReached()) {
             accusations.clear(event.target().id());
             return;
@@ -282,34 +282,34 @@
         }
     }
 
-    private void listed(Listed event, long nowNanos, List<MembershipAction> actions) {
-        table.listed(event, nowNanos).forEach(text -> actions.add(new Told(text)));
+    private void listed(ListReceived event, long nowNanos, List<MembershipAction> actions) {
+        table.applyList(event, nowNanos).forEach(text -> actions.add(new RecordChange(text)));
         event.vms().stream()
                 .filter(vm -> vm.id().equals(self.vm().id()) && vm.leaving() && isThisIncarnation(vm))
                 .findAny()
-                .ifPresent(listedSelf -> self = self.leaving());
+                .ifPresent(listedSelf -> self = self.asLeaving());
     }
 
     private boolean isThisIncarnation(Vm vm) {
         return vm.incarnation() == self.vm().incarnation();
     }
 
-    private void leaveHeard(LeaveHeard event, List<MembershipAction> actions) {
+    private void leaveHeard(LeaveReceived event, List<MembershipAction> actions) {
         table.member(event.id())
                 .filter(member -> member.update().vm().incarnation() == event.incarnation())
                 .flatMap(table::markLeaving)
                 .ifPresent(text -> {
                     gossip.add(table.require(event.id()).update());
-                    actions.add(new Told(text));
+                    actions.add(new RecordChange(text));
                 });
     }
 
     private void leaveBegun(List<MembershipAction> actions) {
-        self = self.leaving();
+        self = self.asLeaving();
         gossip.add(self);
         List<Vm> told = table.liveVms();
         Collections.shuffle(told, random);
-        told.stream().limit(TOLD_OF_LEAVING).forEach(vm -> actions.add(new TellLeaving(vm)));
+        told.stream().limit(TOLD_OF_LEAVING).forEach(vm -> actions.add(new SendLeave(vm)));
     }
 
     private void merge(MemberUpdate update, long nowNanos, List<MembershipAction> actions) {
@@ -320,7 +320,7 @@
         table.merge(update, nowNanos).ifPresent(text -> {
             gossip.add(table.require(update.vm().id()).update());
             if (!text.isEmpty()) {
-                actions.add(new Told(text));
+                actions.add(new RecordChange(text));
             }
         });
     }
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
@@ -1,17 +1,17 @@
 package io.coppershelf.membership.internal;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.ControlThread;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
+import io.coppershelf.membership.internal.MembershipEvent.IndirectProbeEnded;
 import io.coppershelf.membership.internal.MembershipEvent.Introduced;
-import io.coppershelf.membership.internal.MembershipEvent.LeaveHeard;
+import io.coppershelf.membership.internal.MembershipEvent.LeaveReceived;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeAnswered;
 import io.coppershelf.membership.internal.MembershipEvent.ProbeFailed;
 import io.coppershelf.membership.internal.MembershipEvent.Tick;
-import io.coppershelf.membership.internal.MembershipEvent.UpdatesHeard;
-import io.coppershelf.membership.internal.MembershipEvent.VerdictHeard;
+import io.coppershelf.membership.internal.MembershipEvent.UpdatesReceived;
 import io.coppershelf.membership.internal.MembershipMessages.JoinRequest;
 import io.coppershelf.membership.internal.MembershipMessages.LeaveMessage;
 import io.coppershelf.membership.internal.MembershipMessages.ListReply;
@@ -19,7 +19,7 @@
 import io.coppershelf.membership.internal.MembershipMessages.Ping;
 import io.coppershelf.membership.internal.MembershipMessages.PingReply;
 import io.coppershelf.membership.internal.MembershipMessages.ProbeRequest;
-import io.coppershelf.membership.internal.MembershipMessages.ProbeVerdict;
+import io.coppershelf.membership.internal.MembershipMessages.ProbeResult;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.peer.PeerExchange.Replies;
@@ -78,20 +78,20 @@
         exchange.register(MembershipMessages.PROBE_REQUEST, this::probeRequested);
         exchange.register(
                 MembershipMessages.LEAVE,
-                (sender, leave, replies) -> post(new LeaveHeard(sender, leave.incarnation())));
+                (sender, leave, replies) -> post(new LeaveReceived(sender, leave.incarnation())));
         control.every(Duration.ofMillis(MembershipDecisions.TICK_MILLIS), () -> on(new Tick()));
     }
 
     /** Takes in a list of the platform. */
-    public void listed(PublishedVms list) {
-        post(new MembershipEvent.Listed(list.revision(), list.vms()));
+    public void onList(PublishedVms list) {
+        post(new MembershipEvent.ListReceived(list.revision(), list.vms()));
     }
 
     /** Tells the peers that this VM leaves. */
     public void leave() {
         control.execute(() -> {
             if (!decisions.self().vm().leaving()) {
-                on(new MembershipEvent.LeaveBegun());
+                on(new MembershipEvent.LeaveStarted());
             }
         });
     }
@@ -101,13 +101,13 @@
     }
 
     private void on(MembershipEvent event) {
-        decisions.on(event, time.nanos()).forEach(this::perform);
+        decisions.handle(event, time.nanos()).forEach(this::perform);
     }
 
     private void perform(MembershipAction action) {
         if (action instanceof MembershipAction.Probe probe) {
             probe(probe.target());
-        } else if (action instanceof MembershipAction.ProbeThrough through) {
+        } else if (action instanceof MembershipAction.IndirectProbe through) {
             probeThrough(through);
         } else if (action instanceof MembershipAction.Pull pull) {
             pull(pull.target());
@@ -118,11 +118,11 @@
             seeds.stream()
                     .filter(seed -> !seed.host().equals(self.host()) || seed.peerPort() != self.peerPort())
                     .forEach(seed -> pull(new Vm("", 0, "", seed.host(), seed.peerPort(), 0, false)));
-        } else if (action instanceof MembershipAction.TellLeaving told) {
+        } else if (action instanceof MembershipAction.SendLeave told) {
             exchange.send(told.target(), new LeaveMessage(decisions.self().vm().incarnation()));
         } else if (action instanceof MembershipAction.Publish) {
             source.publish(decisions.view());
-        } else if (action instanceof MembershipAction.Told told) {
+        } else if (action instanceof MembershipAction.RecordChange told) {
             logger.atInfo().log("[membership] %s", told.text());
             timeline.record(Timeline.Event.of("membership", told.text()));
         }
@@ -139,12 +139,12 @@
         });
     }
 
-    private void probeThrough(MembershipAction.ProbeThrough through) {
+    private void probeThrough(MembershipAction.IndirectProbe through) {
         long began = time.nanos();
         Vm target = through.target();
         request(through.witness(), new ProbeRequest(target), VERDICT_TIMEOUT, reply -> {
-            if (reply instanceof PeerReply.Received received && received.message() instanceof ProbeVerdict verdict) {
-                on(new VerdictHeard(target, through.witness().id(), verdict.isReached(), began));
+            if (reply instanceof PeerReply.Received received && received.message() instanceof ProbeResult verdict) {
+                on(new IndirectProbeEnded(target, through.witness().id(), verdict.isReached(), began));
             }
         });
     }
@@ -160,7 +160,7 @@
     private void pullList(Vm target) {
         request(target, new ListRequest(), JOIN_TIMEOUT, reply -> {
             if (reply instanceof PeerReply.Received received && received.message() instanceof ListReply list) {
-                on(new MembershipEvent.Listed(list.revision(), list.vms()));
+                on(new MembershipEvent.ListReceived(list.revision(), list.vms()));
             }
         });
     }
@@ -194,7 +194,7 @@
                 return;
             }
             heard(request.sender(), List.of());
-            replies.reply(answer(decisions.everything()));
+            replies.reply(answer(decisions.allUpdates()));
         });
     }
 
@@ -206,7 +206,7 @@
     private void heard(MemberUpdate sender, List<MemberUpdate> updates) {
         boolean isLive = decisions.isLive(sender.vm());
         if (isLive) {
-            on(new UpdatesHeard(sender.vm().id(), updates));
+            on(new UpdatesReceived(sender.vm().id(), updates));
         }
         on(new Introduced(sender));
     }
@@ -227,8 +227,8 @@
                 target,
                 ping,
                 PROBE_TIMEOUT,
-                reply -> replies.reply(new ProbeVerdict(
-                        reply instanceof PeerReply.Received received && answered(received.message()))));
+                reply -> replies.reply(
+                        new ProbeResult(reply instanceof PeerReply.Received received && answered(received.message()))));
     }
 
     private static boolean isAbout(String sender, MemberUpdate update) {
--- a/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetch.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetcher.java
@@ -11,14 +11,14 @@
  * Fetches a configuration that was announced: from the platform, else from another VM, and again after a pause until it
  * is in force. Not safe for several threads.
  */
-final class ConfigurationFetch {
+final class ConfigurationFetcher {
     /** Pause before a configuration that could not be read is read again; it doubles each time. */
     static final long FIRST_PAUSE_MILLIS = 150;
     /** Longest such pause, well under the time in which a change has to be in force. */
     static final long LONGEST_PAUSE_MILLIS = 1200;
 
     private final CatalogReader reader;
-    private final PeerCatalog peers;
+    private final SnapshotSource peers;
     private final Timer timer;
     private final LongSupplier inForce;
     private final Consumer<FleetConfiguration> onRead;
@@ -30,7 +30,7 @@
     /** Runs something later, on the same thread. */
     interface Timer {
         /** Runs it after a time. */
-        void after(long millis, Runnable action);
+        void schedule(long millis, Runnable action);
     }
 
     /**
@@ -39,9 +39,9 @@
      * @param inForce the revision of the configuration in force, 0 if there is none
      * @param onRead takes a configuration that was read; older ones than that in force must be ignored there
      */
-    ConfigurationFetch(
+    ConfigurationFetcher(
             CatalogReader reader,
-            PeerCatalog peers,
+            SnapshotSource peers,
             Timer timer,
             LongSupplier inForce,
             Consumer<FleetConfiguration> onRead,
@@ -55,18 +55,18 @@
     }
 
     /** Returns the revision of the newest configuration that was announced. */
-    long wanted() {
+    long newestAnnounced() {
         return Math.max(wanted, inForce.getAsLong());
     }
 
     /** Notes that a configuration was published, and fetches it unless it is in force. */
-    void want(long revision) {
+    void announced(long revision) {
         wanted = Math.max(wanted, revision);
         if (isFetching || inForce.getAsLong() >= wanted) {
             return;
         }
         isFetching = true;
-        reader.readConfigurationCheaply(wanted, this::take, this::askPeer);
+        reader.readConfigurationAllowingStale(wanted, this::take, this::askPeer);
     }
 
     private void askPeer() {
@@ -82,7 +82,7 @@
         isFetching = false;
         pauseMillis = FIRST_PAUSE_MILLIS;
         onRead.accept(configuration);
-        want(wanted);
+        announced(wanted);
     }
 
     private void retryLater(String reason) {
@@ -91,9 +91,9 @@
                 Fields.of("wanted", wanted, "inForce", inForce.getAsLong(), "reason", reason));
         long pause = pauseMillis;
         pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
-        timer.after(pause, () -> {
+        timer.schedule(pause, () -> {
             isFetching = false;
-            want(wanted);
+            announced(wanted);
         });
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetEvidence.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetObservations.java
@@ -1,12 +1,12 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.BeliefTable;
-import io.coppershelf.belief.Observation;
-import io.coppershelf.belief.ServerBelief;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.ServerList;
 import io.coppershelf.dispatch.FleetLoad;
-import io.coppershelf.dispatch.ServiceSpread;
+import io.coppershelf.dispatch.IdleServerTracker;
+import io.coppershelf.health.estimate.HealthEstimate;
+import io.coppershelf.health.estimate.HealthEstimates;
+import io.coppershelf.health.estimate.Observation;
 import java.util.Set;
 import java.util.stream.Collectors;
 
@@ -18,10 +18,10 @@
  * @param load the requests of other VMs under way at each server
  * @param spread which servers had requests of late
  */
-public record FleetEvidence(BeliefTable beliefs, FleetLoad load, ServiceSpread spread) {
+public record FleetObservations(HealthEstimates beliefs, FleetLoad load, IdleServerTracker spread) {
     /** Returns an empty one. */
-    public static FleetEvidence create() {
-        return new FleetEvidence(new BeliefTable(), new FleetLoad(), new ServiceSpread());
+    public static FleetObservations create() {
+        return new FleetObservations(new HealthEstimates(), new FleetLoad(), new IdleServerTracker());
     }
 
     /**
@@ -30,20 +30,20 @@
      * @param source the VM that saw it
      * @return whether it is news for the fleet
      */
-    boolean observe(String serverKey, Observation observation, String source, StateLog log, long nowNanos) {
-        ServerBelief before = beliefs.belief(serverKey, nowNanos);
+    boolean observe(String serverKey, Observation observation, String source, StateChangeLog log, long nowNanos) {
+        HealthEstimate before = beliefs.estimate(serverKey, nowNanos);
         boolean isNews = beliefs.observe(serverKey, observation, nowNanos);
-        log.belief(serverKey, before, beliefs.belief(serverKey, nowNanos), source, observation, nowNanos);
+        log.estimateChanged(serverKey, before, beliefs.estimate(serverKey, nowNanos), source, observation, nowNanos);
         return isNews;
     }
 
     /** Takes what another VM tells of its requests under way. */
-    void heard(Object vm, MeshMessage.Load told, long nowNanos) {
+    void recordLoad(Object vm, MeshMessage.Load told, long nowNanos) {
         int size = Math.min(told.serverCodes().size(), told.inFlight().size());
         for (int i = 0; i < size; i++) {
             long code = told.serverCodes().get(i);
-            if (load.heard(vm, code, told.inFlight().get(i), nowNanos)) {
-                spread.began(code, nowNanos);
+            if (load.recordInFlight(vm, code, told.inFlight().get(i), nowNanos)) {
+                spread.recordRequest(code, nowNanos);
             }
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/ReadingSchedule.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/PlatformReadSchedule.java
@@ -9,7 +9,7 @@
  * VMs in a shared order wait the least, so that one or two of them read for the whole fleet and the rest hear from
  * them. A VM that hears from nobody reads by itself, still in time for the bounds. Pure; not safe for several threads.
  */
-public final class ReadingSchedule {
+public final class PlatformReadSchedule {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     /** The age at which the first VM reads; a fifth of the two seconds in which a change has to be in force. */
     private static final long FIRST_AGE_NANOS = 350 * MILLI;
@@ -35,12 +35,12 @@
     private long spreadNanos;
 
     /** Creates a schedule whose first reading is due at once. */
-    public ReadingSchedule(Random random) {
+    public PlatformReadSchedule(Random random) {
         this.random = random;
     }
 
     /** Notes that what is known was current at a time, by an own reading or by a peer's. */
-    public void confirmed(long atNanos) {
+    public void markCurrent(long atNanos) {
         if (!isConfirmed || atNanos - confirmedNanos > 0) {
             confirmedNanos = atNanos;
             isConfirmed = true;
@@ -49,12 +49,12 @@
     }
 
     /** Notes that a reading of this VM succeeded. */
-    public void succeeded() {
+    public void readSucceeded() {
         failures = 0;
     }
 
     /** Notes that a reading of this VM failed. */
-    public void failed(long nowNanos) {
+    public void readFailed(long nowNanos) {
         long pause = Math.min(LONGEST_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(failures, MAX_DOUBLINGS));
         failures++;
         notBeforeNanos = nowNanos + pause / 2 + (long) (random.nextDouble() * pause);
--- a/coppershelf/src/main/java/io/coppershelf/mesh/StateLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/StateChangeLog.java
@@ -1,21 +1,21 @@
 package io.coppershelf.mesh;
 
-import io.coppershelf.belief.Observation;
-import io.coppershelf.belief.ServerBelief;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.ServerList;
 import io.coppershelf.eventlog.EventLog;
 import io.coppershelf.eventlog.Fields;
+import io.coppershelf.health.estimate.HealthEstimate;
+import io.coppershelf.health.estimate.Observation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 
 /** Writes a log line for each change of what this VM believes. */
-final class StateLog {
+final class StateChangeLog {
     private final EventLog log;
 
-    StateLog(EventLog log) {
+    StateChangeLog(EventLog log) {
         this.log = log;
     }
 
@@ -24,15 +24,15 @@
      *
      * @param source who made the observation
      */
-    void belief(
+    void estimateChanged(
             String serverKey,
-            ServerBelief before,
-            ServerBelief after,
+            HealthEstimate before,
+            HealthEstimate after,
             String source,
             Observation observation,
             long nowNanos) {
-        boolean isSuspect = after.isSuspect(nowNanos);
-        if (isSuspect == before.isSuspect(nowNanos)) {
+        boolean isSuspect = after.isSuspected(nowNanos);
+        if (isSuspect == before.isSuspected(nowNanos)) {
             return;
         }
         log.important(
@@ -45,11 +45,11 @@
                         "source",
                         source,
                         "sickness",
-                        after.sicknessAt(nowNanos)));
+                        after.unhealthyProbabilityAt(nowNanos)));
     }
 
     /** Tells which servers joined, left or changed, if any. */
-    void servers(ServerList before, ServerList after, String source) {
+    void serversChanged(ServerList before, ServerList after, String source) {
         List<String> changes = new ArrayList<>();
         for (BackendServer server : after.all()) {
             Optional<BackendServer> known = before.server(server.id());
@@ -72,7 +72,7 @@
     }
 
     /** Tells which configuration is in force, if that has changed. */
-    void configuration(Catalog before, Catalog after, String source) {
+    void configurationChanged(Catalog before, Catalog after, String source) {
         if (after.configuration().equals(before.configuration())) {
             return;
         }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
@@ -59,7 +59,7 @@
         pool = new ConnectionPool(this::open, this::isReplaced);
         loop = new SelectorLoop(openSelector(), () -> pool.sweep(System.nanoTime()), pool::isBusy);
         receiver = new Receiver(codecs, fleet, filter, metrics, traffic, clock);
-        metrics.showConnections(registry, pool::size);
+        metrics.registerConnectionGauge(registry, pool::size);
         codecs.add(Hello.CODEC, Optional.empty());
     }
 
@@ -115,7 +115,7 @@
         long now = System.nanoTime();
         if (!isTooLong(frame) && filter.passes(self().id(), target.id())) {
             pool.connectionTo(target)
-                    .ifPresent(link -> link.offer(Outbound.oneWay(frame, now, now + ONE_WAY_EXPIRY_NANOS)));
+                    .ifPresent(link -> link.offer(OutboundFrame.oneWay(frame, now, now + ONE_WAY_EXPIRY_NANOS)));
         }
     }
 
@@ -132,7 +132,7 @@
             return result.completeOnTimeout(new PeerReply.Lost(), timeout.toNanos(), TimeUnit.NANOSECONDS);
         }
         long now = System.nanoTime();
-        Outbound outbound = Outbound.request(
+        OutboundFrame outbound = OutboundFrame.request(
                 frame, id, now, now + timeout.toNanos(), reply -> traffic.execute(() -> result.complete(reply)));
         if (isTooLong(frame)
                 || !pool.connectionTo(target).map(link -> link.offer(outbound)).orElse(false)) {
@@ -160,10 +160,10 @@
         return connection;
     }
 
-    private Outbound helloTo(String id, long incarnation) {
+    private OutboundFrame helloTo(String id, long incarnation) {
         Hello hello = new Hello(Hello.VERSION, self(), id, incarnation);
         long now = System.nanoTime();
-        return Outbound.oneWay(
+        return OutboundFrame.oneWay(
                 codecs.frame(hello, 0, Envelope.Kind.ONE_WAY, clock.stamp()), now, now + ONE_WAY_EXPIRY_NANOS);
     }
 
@@ -174,7 +174,7 @@
                 .isPresent();
     }
 
-    private Connection.Events events() {
+    private Connection.Listener events() {
         return new ConnectionEvents();
     }
 
@@ -195,10 +195,10 @@
     }
 
     /** Feeds what connections hear to the receiver. */
-    private final class ConnectionEvents implements Connection.Events {
+    private final class ConnectionEvents implements Connection.Listener {
         @Override
         public int frameLimit(Connection connection) {
-            if (connection.isUnanswered()) {
+            if (connection.isHandshakePending()) {
                 return HELLO_FRAME_BYTES;
             }
             boolean isTrusted = connection.target().isPresent()
@@ -209,13 +209,13 @@
         @Override
         public void received(Connection connection, byte[] frame) {
             metrics.received(frame.length);
-            if (!connection.isUnanswered()) {
+            if (!connection.isHandshakePending()) {
                 receiver.receive(connection, frame);
                 return;
             }
             Optional<Hello> hello = receiver.readHello(connection, frame);
             hello.ifPresent(accepted -> {
-                connection.introduce(accepted.sender());
+                connection.setRemote(accepted.sender());
                 if (connection.target().isEmpty()) {
                     connection.offer(
                             helloTo(accepted.sender().id(), accepted.sender().incarnation()));
@@ -245,7 +245,7 @@
     }
 
     /** Takes connections of peers. */
-    private final class Acceptor implements SelectorLoop.Ready {
+    private final class Acceptor implements SelectorLoop.ChannelHandler {
         private final ServerSocketChannel channel;
 
         Acceptor(ServerSocketChannel channel) {
@@ -253,14 +253,14 @@
         }
 
         @Override
-        public void ready(SelectionKey key) throws IOException {
+        public void onReady(SelectionKey key) throws IOException {
             for (SocketChannel taken = channel.accept(); taken != null; taken = channel.accept()) {
                 pool.add(Connection.incoming(loop, events(), taken));
             }
         }
 
         @Override
-        public void failed() {
+        public void onFailure() {
             logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).log("[peer] Could not accept a connection.");
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/proxy/RequestRun.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
@@ -4,13 +4,13 @@
 import io.coppershelf.catalog.Catalog;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.Route;
+import io.coppershelf.dispatch.AttemptAllocator;
 import io.coppershelf.dispatch.ChoiceInputs;
+import io.coppershelf.dispatch.PlanStep;
 import io.coppershelf.dispatch.RequestPlan;
-import io.coppershelf.dispatch.ServerChoice;
-import io.coppershelf.dispatch.Step;
 import io.coppershelf.dispatch.TypicalLatency;
 import io.coppershelf.eventlog.Fields;
-import io.coppershelf.http.HttpLink;
+import io.coppershelf.http.HttpConnection;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -27,7 +27,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Carries out the plan of one request. Runs on the traffic thread. */
-final class RequestRun implements ServerChoice, ServerAttempt.Listener {
+final class RequestExecution implements AttemptAllocator, ServerAttempt.Listener {
     /** Taken off what is left of the caller's time, for the way of the answer. */
     private static final long WAY_BACK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     /**
@@ -56,7 +56,7 @@
     private Optional<ScheduledFuture<?>> timer = Optional.empty();
     private boolean isEnded;
 
-    RequestRun(
+    RequestExecution(
             TrafficContext context,
             Route route,
             String service,
@@ -78,14 +78,14 @@
 
     /** Sends the request for the first time. */
     void start() {
-        context.metrics().begun();
+        context.metrics().requestStarted();
         long now = System.nanoTime();
         context.budget().countRequest(service, now);
         carryOut(plan.start(now));
     }
 
     /** The caller has left: work that may be repeated is stopped, other work is left to finish. */
-    void callerLeft() {
+    void callerDisconnected() {
         if (isEnded) {
             return;
         }
@@ -105,13 +105,13 @@
     }
 
     @Override
-    public boolean mayRepeat() {
-        return context.budget().mayRepeat(service, context.state().fleetSize(), System.nanoTime());
+    public boolean canRetry() {
+        return context.budget().canAcquire(service, context.state().fleetSize(), System.nanoTime());
     }
 
     @Override
-    public boolean takeRepeat() {
-        return context.budget().tryRepeat(service, context.state().fleetSize(), System.nanoTime());
+    public boolean tryAcquireRetry() {
+        return context.budget().tryAcquire(service, context.state().fleetSize(), System.nanoTime());
     }
 
     @Override
@@ -136,15 +136,15 @@
                 });
     }
 
-    private void carryOut(List<Step> steps) {
-        for (Step step : steps) {
-            if (step instanceof Step.Send send) {
+    private void carryOut(List<PlanStep> steps) {
+        for (PlanStep step : steps) {
+            if (step instanceof PlanStep.Send send) {
                 send(send);
-            } else if (step instanceof Step.ReportStall stall) {
+            } else if (step instanceof PlanStep.ReportStall stall) {
                 attempts.get(stall.attempt()).reportStall();
-            } else if (step instanceof Step.Deliver deliver) {
+            } else if (step instanceof PlanStep.Deliver deliver) {
                 end(deliver);
-            } else if (step instanceof Step.Fail fail) {
+            } else if (step instanceof PlanStep.Fail fail) {
                 end(fail);
             }
         }
@@ -156,16 +156,17 @@
     private void schedule() {
         timer.ifPresent(scheduled -> scheduled.cancel(false));
         long delay = Math.max(0, plan.nextTimer(System.nanoTime()) - System.nanoTime());
-        timer = Optional.of(
-                context.loop().schedule(() -> carryOut(plan.timer(System.nanoTime())), delay, TimeUnit.NANOSECONDS));
+        timer = Optional.of(context.loop()
+                .schedule(() -> carryOut(plan.timerExpired(System.nanoTime())), delay, TimeUnit.NANOSECONDS));
     }
 
-    private void send(Step.Send send) {
+    private void send(PlanStep.Send send) {
         ServerAttempt attempt = new ServerAttempt(context, send.attempt(), send.server(), requestId, this);
         attempts.add(attempt);
         long maxIdle = route.kind() == RequestKind.ONCE ? ONCE_IDLE_NANOS : Long.MAX_VALUE;
         context.pool()
-                .acquire(send.server(), maxIdle, maxConnections(), link -> write(attempt, link), attempt::notConnected);
+                .acquire(
+                        send.server(), maxIdle, maxConnections(), link -> write(attempt, link), attempt::connectFailed);
     }
 
     /** Returns this VM's share of the connections that a server accepts. */
@@ -178,7 +179,7 @@
         return Math.max(MIN_CONNECTIONS, cap / context.state().fleetSize());
     }
 
-    private void write(ServerAttempt attempt, HttpLink link) {
+    private void write(ServerAttempt attempt, HttpConnection link) {
         long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
         boolean isDrained = context.state()
                 .catalog()
@@ -191,7 +192,7 @@
             attempt.notSent(isDrained ? "the server is leaving" : "no time is left");
             return;
         }
-        attempt.sending(link);
+        attempt.connected(link);
         DefaultFullHttpRequest outgoing = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 request.method(),
@@ -206,13 +207,13 @@
         HttpHeaders headers = EndToEndHeaders.copy(request.headers());
         headers.set(context.names().deadlineMillis(), Long.toString(leftMillis));
         headers.set(context.names().targetServer(), server.id());
-        if (request.body().length > 0 || EndToEndHeaders.announcesBody(request.headers())) {
+        if (request.body().length > 0 || EndToEndHeaders.declaresBody(request.headers())) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(request.body().length));
         }
         return headers;
     }
 
-    private void end(Step.Deliver deliver) {
+    private void end(PlanStep.Deliver deliver) {
         ServerAttempt attempt = attempts.get(deliver.attempt());
         isEnded = true;
         stopOthers();
@@ -225,7 +226,7 @@
         sink.deliver(attempt.answer());
     }
 
-    private void end(Step.Fail fail) {
+    private void end(PlanStep.Fail fail) {
         isEnded = true;
         stopOthers();
         finished(fail.kind().code(), fail.reason(), false);
@@ -239,8 +240,8 @@
 
     private void finished(String outcome, String reason, boolean isRoutine) {
         long tookNanos = System.nanoTime() - request.readAtNanos();
-        context.metrics().ended();
-        context.metrics().request(outcome, tookNanos);
+        context.metrics().requestEnded();
+        context.metrics().recordRequest(outcome, tookNanos);
         Map<String, Object> fields = Fields.of(
                 "request", requestId,
                 "route", route.name(),
@@ -271,7 +272,7 @@
                                 "end", end.name(),
                                 "detail", detail,
                                 "tookMs", TimeUnit.NANOSECONDS.toMillis(attempt.ageNanos()),
-                                "sicknessThen", inputs.sickness(),
+                                "sicknessThen", inputs.unhealthyProbability(),
                                 "observedMsBefore", inputs.observationAge().toMillis(),
                                 "busyThen", inputs.busy(),
                                 "serversRevision", catalog.servers().revision()));
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
@@ -9,25 +9,25 @@
 import io.coppershelf.ticket.Ticket;
 import io.coppershelf.ticket.TicketDigest;
 import io.coppershelf.ticket.internal.spread.SpreadAction.AlarmConflict;
-import io.coppershelf.ticket.internal.spread.SpreadAction.AskRepair;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Publish;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Pull;
 import io.coppershelf.ticket.internal.spread.SpreadAction.Ready;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnounceAnswered;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnounceFailed;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.Announced;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.BucketsAnswered;
+import io.coppershelf.ticket.internal.spread.SpreadAction.RequestRepair;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnouncementAcknowledged;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnouncementFailed;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.AnnouncementReceived;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.BucketsReceived;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.FleetChanged;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.PlatformFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.PlatformRead;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.PlatformReadFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.PullFailed;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Pulled;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairAnswered;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairAsked;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairFailed;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairReplied;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.RepairRequested;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Summary;
 import io.coppershelf.ticket.internal.spread.SpreadEvent.Tick;
-import io.coppershelf.ticket.internal.spread.SpreadEvent.VersionsAnswered;
+import io.coppershelf.ticket.internal.spread.SpreadEvent.VersionsReceived;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -55,8 +55,8 @@
 
     private final ConfigurationStore store = new ConfigurationStore();
     private final RecentTickets recent = new RecentTickets();
-    private final StartGate gate = new StartGate();
-    private final PullList pulls = new PullList();
+    private final ReadinessGate gate = new ReadinessGate();
+    private final PendingPulls pulls = new PendingPulls();
     private final Random random;
     private final RumorList rumors;
     private final PlatformWatch watch;
@@ -93,7 +93,7 @@
     }
 
     /** Returns whether this VM has seen the ticket. */
-    boolean knows(TicketKey key) {
+    boolean hasSeen(TicketKey key) {
         return recent.contains(key);
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** Takes in one event. */
-    List<SpreadAction> on(SpreadEvent event, long nowNanos) {
+    List<SpreadAction> handle(SpreadEvent event, long nowNanos) {
         List<SpreadAction> actions = new ArrayList<>();
         if (event instanceof Tick) {
             tick(nowNanos, actions);
@@ -126,8 +126,8 @@
             view = changed.view();
         } else if (event instanceof PlatformRead read) {
             platformRead(read, nowNanos, actions);
-        } else if (event instanceof PlatformFailed) {
-            watch.failed(nowNanos);
+        } else if (event instanceof PlatformReadFailed) {
+            watch.recordFailure(nowNanos);
         } else {
             peerEvent(event, nowNanos, actions);
         }
@@ -136,23 +136,23 @@
     }
 
     private void peerEvent(SpreadEvent event, long nowNanos, List<SpreadAction> actions) {
-        if (event instanceof Announced announced) {
+        if (event instanceof AnnouncementReceived announced) {
             announced(announced, actions);
-        } else if (event instanceof AnnounceAnswered answered) {
-            rumors.answered(answered.key(), answered.wasKnown());
-        } else if (event instanceof AnnounceFailed failed) {
-            rumors.failed(failed.target(), failed.key());
+        } else if (event instanceof AnnouncementAcknowledged answered) {
+            rumors.recordReply(answered.key(), answered.wasKnown());
+        } else if (event instanceof AnnouncementFailed failed) {
+            rumors.recordFailure(failed.target(), failed.key());
         } else if (event instanceof Pulled pulled) {
             pulled(pulled, nowNanos, actions);
         } else if (event instanceof PullFailed failed) {
             pullFromNext(failed.key(), actions);
-        } else if (event instanceof RepairAsked asked) {
+        } else if (event instanceof RepairRequested asked) {
             repairAsked(asked, nowNanos);
-        } else if (event instanceof RepairAnswered answered) {
+        } else if (event instanceof RepairReplied answered) {
             repairAnswered(answered, nowNanos, actions);
-        } else if (event instanceof BucketsAnswered answered) {
+        } else if (event instanceof BucketsReceived answered) {
             bucketsAnswered(answered, actions);
-        } else if (event instanceof VersionsAnswered answered) {
+        } else if (event instanceof VersionsReceived answered) {
             versionsAnswered(answered, actions);
         } else if (event instanceof RepairFailed failed) {
             session = session.filter(present -> !present.isWith(failed.target()));
@@ -160,7 +160,7 @@
     }
 
     private void tick(long nowNanos, List<SpreadAction> actions) {
-        watch.next(isWatcher(), view.vms().size(), repairNanos(), nowNanos).ifPresent(actions::add);
+        watch.nextRead(isWatcher(), view.vms().size(), repairNanos(), nowNanos).ifPresent(actions::add);
         actions.addAll(rumors.announcements(view, nowNanos));
         if (nowNanos - nextRepairNanos >= 0) {
             long interval = gate.isReady() ? repairNanos() : START_REPAIR_NANOS;
@@ -182,21 +182,21 @@
 
     private void askRepair(List<SpreadAction> actions) {
         if (repairPeer.isPresent()) {
-            actions.add(new AskRepair(repairPeer.get()));
+            actions.add(new RequestRepair(repairPeer.get()));
             repairPeer = Optional.empty();
             return;
         }
         List<Vm> peers = new ArrayList<>(view.vms());
         peers.remove(view.self());
         Collections.shuffle(peers, random);
-        peers.sort(Comparator.comparing(peer -> gate.hasHeard(peer.id())));
+        peers.sort(Comparator.comparing(peer -> gate.isKnownIdle(peer.id())));
         peers.stream()
                 .limit(gate.isReady() ? 1 : PEERS_ASKED_AT_START)
-                .forEach(peer -> actions.add(new AskRepair(peer)));
+                .forEach(peer -> actions.add(new RequestRepair(peer)));
     }
 
     private void platformRead(PlatformRead read, long nowNanos, List<SpreadAction> actions) {
-        watch.answered(read.position(), read.position() != read.askedPosition(), nowNanos);
+        watch.recordAnswer(read.position(), read.position() != read.askedPosition(), nowNanos);
         SortedSet<Long> numbers = new TreeSet<>();
         for (Ticket ticket : read.tickets()) {
             take(ticket, Optional.empty(), nowNanos, numbers, actions);
@@ -204,8 +204,8 @@
         publish(numbers, nowNanos, actions);
     }
 
-    private void announced(Announced event, List<SpreadAction> actions) {
-        rumors.heardFrom(event.sender(), event.key());
+    private void announced(AnnouncementReceived event, List<SpreadAction> actions) {
+        rumors.recordKnownBy(event.sender(), event.key());
         if (!recent.contains(event.key()) && pulls.begin(event.key(), event.sender())) {
             pullFrom(event.sender(), event.key(), actions);
         }
@@ -221,7 +221,7 @@
     }
 
     private void pullFromNext(TicketKey key, List<SpreadAction> actions) {
-        pulls.next(key).ifPresent(peer -> pullFrom(peer, key, actions));
+        pulls.nextSource(key).ifPresent(peer -> pullFrom(peer, key, actions));
     }
 
     private void pulled(Pulled event, long nowNanos, List<SpreadAction> actions) {
@@ -249,7 +249,7 @@
         if (!result.changed().isEmpty()) {
             numbers.add(ticket.number());
         }
-        if (gate.isReady() && !result.isNothingNew()) {
+        if (gate.isReady() && !result.hasNoEffect()) {
             rumors.begin(key, source, nowNanos);
         }
     }
@@ -261,9 +261,9 @@
         }
     }
 
-    private void repairAsked(RepairAsked event, long nowNanos) {
-        watch.heardAge(event.summary().platformAgeMillis(), nowNanos);
-        gate.heard(event.sender(), event.summary().isReady());
+    private void repairAsked(RepairRequested event, long nowNanos) {
+        watch.recordReportedAge(event.summary().platformAgeMillis(), nowNanos);
+        gate.recordPeer(event.sender(), event.summary().isReady());
         boolean isBehind = event.summary().isReady()
                 && event.summary().digest() != configuration().digest();
         if (isBehind) {
@@ -272,10 +272,10 @@
         }
     }
 
-    private void repairAnswered(RepairAnswered event, long nowNanos, List<SpreadAction> actions) {
+    private void repairAnswered(RepairReplied event, long nowNanos, List<SpreadAction> actions) {
         Summary summary = event.summary();
-        watch.heardAge(summary.platformAgeMillis(), nowNanos);
-        gate.heard(event.sender(), summary.isReady());
+        watch.recordReportedAge(summary.platformAgeMillis(), nowNanos);
+        gate.recordPeer(event.sender(), summary.isReady());
         if (summary.digest() == configuration().digest()) {
             finish(summary.isReady());
             return;
@@ -295,12 +295,12 @@
         });
     }
 
-    private void bucketsAnswered(BucketsAnswered event, List<SpreadAction> actions) {
+    private void bucketsAnswered(BucketsReceived event, List<SpreadAction> actions) {
         Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
         present.ifPresent(held -> proceed(held, held.compare(store.bucketDigests(), event.bucketDigests()), actions));
     }
 
-    private void versionsAnswered(VersionsAnswered event, List<SpreadAction> actions) {
+    private void versionsAnswered(VersionsReceived event, List<SpreadAction> actions) {
         Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
         if (present.isEmpty()) {
             return;
@@ -321,7 +321,8 @@
         proceed(present.get(), present.get().next(), actions);
     }
 
-    private void proceed(RepairSession held, Optional<SpreadAction.AskVersions> question, List<SpreadAction> actions) {
+    private void proceed(
+            RepairSession held, Optional<SpreadAction.RequestVersions> question, List<SpreadAction> actions) {
         if (question.isPresent()) {
             actions.add(question.get());
             return;
@@ -332,7 +333,7 @@
 
     private void finish(boolean isServing) {
         if (isServing) {
-            gate.synchronizedWithServingPeer();
+            gate.markSynchronized();
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketRefusals.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketValidator.java
@@ -18,13 +18,13 @@
 /**
  * Reads the documents that others give, and refuses loudly those that are not valid. Safe for use by several threads.
  */
-final class TicketRefusals {
+final class TicketValidator {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final Timeline timeline;
     private final Counter refused;
 
-    TicketRefusals(Timeline timeline, PrometheusRegistry metrics) {
+    TicketValidator(Timeline timeline, PrometheusRegistry metrics) {
         this.timeline = timeline;
         refused = Counter.builder()
                 .name("coppershelf_tickets_refused_total")
@@ -34,7 +34,7 @@
     }
 
     /** Returns the valid tickets of the platform; the others are told of and do not block them. */
-    List<Ticket> ofPlatform(List<String> documents) {
+    List<Ticket> parseFromPlatform(List<String> documents) {
         List<Ticket> tickets = new ArrayList<>();
         for (String document : documents) {
             try {
@@ -49,7 +49,7 @@
     }
 
     /** Returns the ticket that a peer gave, empty if it is not valid or not the one asked for. */
-    Optional<Ticket> ofPeer(String peer, TicketKey key, byte[] document) {
+    Optional<Ticket> parseFromPeer(String peer, TicketKey key, byte[] document) {
         try {
             Ticket ticket = TicketDocument.parse(new String(document, StandardCharsets.UTF_8));
             checkNumber(key, ticket);
@@ -58,13 +58,13 @@
             }
             return Optional.of(ticket);
         } catch (CoppershelfException e) {
-            refusedOfPeer(peer, e);
+            recordPeerRefusal(peer, e);
             return Optional.empty();
         }
     }
 
     /** Counts and tells of what a peer gave, once a minute at most. */
-    void refusedOfPeer(String peer, CoppershelfException cause) {
+    void recordPeerRefusal(String peer, CoppershelfException cause) {
         refused.labelValues("peer").inc();
         logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).log(
                 "[ticket] Refused a ticket of %s: %s", peer, cause.getMessage());
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
@@ -24,12 +24,12 @@
         for (int deadline : deadlines) {
             filled.add(waiting("try-" + number++, 1, deadline));
         }
-        assertThat(filled.tries().stream()
+        assertThat(filled.attempts().stream()
                         .map(waiting -> waiting.request().deadlineNanos())
                         .toList())
                 .isInOrder();
         assertThat(filled.workNanos(filled.size())).isEqualTo(deadlines.size() * SERVICE);
-        filled.takeFirst(waiting -> true);
+        filled.removeFirst(waiting -> true);
         assertThat(filled.workNanos(filled.size())).isEqualTo(Math.max(0, deadlines.size() - 1) * SERVICE);
     }
 
@@ -37,10 +37,10 @@
     void givesUpTheLeastWeightedTryWhenSlotsAreLost() {
         queue.add(waiting("light", 1, 190));
         queue.add(waiting("heavy", 10, 200));
-        assertThat(HopelessTries.find(queue, new WaitEstimate(2, 0, SERVICE), 0))
+        assertThat(QueueShedder.selectAttempts(queue, new WaitEstimate(2, 0, SERVICE), 0))
                 .isEmpty();
-        assertThat(HopelessTries.find(queue, new WaitEstimate(1, 0, SERVICE / 2), 0).stream()
-                        .map(WaitingTry::tryId))
+        assertThat(QueueShedder.selectAttempts(queue, new WaitEstimate(1, 0, SERVICE / 2), 0).stream()
+                        .map(QueuedAttempt::attemptId))
                 .containsExactly("light");
     }
 
@@ -56,13 +56,13 @@
     void admitsNothingThatWouldMakeAWaitingTryLate() {
         queue.add(waiting("patient", 1, 250));
         WaitEstimate estimate = new WaitEstimate(1, 0, SERVICE);
-        assertThat(estimate.leavesRoom(queue, 1, SERVICE, 0)).isTrue();
-        assertThat(estimate.leavesRoom(queue, 0, SERVICE, 0)).isFalse();
+        assertThat(estimate.keepsLaterDeadlines(queue, 1, SERVICE, 0)).isTrue();
+        assertThat(estimate.keepsLaterDeadlines(queue, 0, SERVICE, 0)).isFalse();
     }
 
     @Test
     void refusesTheLeastWeightedKindsFirst() {
-        ServiceTimes serviceTimes = new ServiceTimes();
+        MeanServiceTimes serviceTimes = new MeanServiceTimes();
         serviceTimes.record("light", SERVICE);
         serviceTimes.record("heavy", SERVICE);
         AdmissionControl admission = new AdmissionControl(queue, serviceTimes);
@@ -76,12 +76,17 @@
         assertThat(admission.admits(request("urgent", 10, 90), estimate, 0)).isFalse();
     }
 
-    private static WaitingTry waiting(String tryId, int weight, int deadlineMillis) {
-        return new WaitingTry(request(tryId, weight, deadlineMillis), SERVICE);
+    private static QueuedAttempt waiting(String attemptId, int weight, int deadlineMillis) {
+        return new QueuedAttempt(request(attemptId, weight, deadlineMillis), SERVICE);
     }
 
-    private static RequestArrived request(String tryId, int weight, int deadlineMillis) {
+    private static RequestArrived request(String attemptId, int weight, int deadlineMillis) {
         return new RequestArrived(
-                tryId, tryId, true, weight, Duration.ofMillis(deadlineMillis).toNanos(), false);
+                attemptId,
+                attemptId,
+                true,
+                weight,
+                Duration.ofMillis(deadlineMillis).toNanos(),
+                false);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
@@ -6,12 +6,12 @@
 import io.coppershelf.backend.BackendRequest;
 import io.coppershelf.backend.BackendResult;
 import io.coppershelf.backend.BackendResult.ServerState;
-import io.coppershelf.kernel.TimeSource;
+import io.coppershelf.component.TimeSource;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.FakeBackendServer.Received;
 import io.coppershelf.testing.FakeBackendServer.Script;
-import io.coppershelf.testing.FakeParts;
+import io.coppershelf.testing.FakeComponents;
 import io.coppershelf.testing.FreePorts;
 import io.coppershelf.ticket.ServerSpec;
 import java.io.IOException;
@@ -45,12 +45,12 @@
     private FakeBackendServer server;
 
     static {
-        HttpClients.applySystemProperties();
+        HttpClientHolder.applySystemProperties();
     }
 
     private void start(Script script) throws IOException {
         server = FakeBackendServer.start(script);
-        client = new HttpBackendClient(new HttpClients(executor, TimeSource.system()), TimeSource.system());
+        client = new HttpBackendClient(new HttpClientHolder(executor, TimeSource.system()), TimeSource.system());
     }
 
     @AfterEach
@@ -69,10 +69,10 @@
         return new byte[0];
     }
 
-    private BackendRequest request(String tryId, Duration limit) {
-        ServerSpec spec = FakeParts.server(server.port(), 2);
+    private BackendRequest request(String attemptId, Duration limit) {
+        ServerSpec spec = FakeComponents.server(server.port(), 2);
         return new BackendRequest(
-                tryId,
+                attemptId,
                 spec,
                 "POST",
                 "/claims?a=b",
@@ -82,8 +82,8 @@
                 LARGEST_ANSWER);
     }
 
-    private Exchange send(String tryId) {
-        return client.send(request(tryId, LIMIT));
+    private Exchange send(String attemptId) {
+        return client.send(request(attemptId, LIMIT));
     }
 
     static Stream<Arguments> faults() {
@@ -154,7 +154,7 @@
     @Test
     void keepsCrossedAnswersFromBothTries() throws Exception {
         start(request -> {
-            String other = request.tryId().equals("t1") ? "t2" : "t1";
+            String other = request.attemptId().equals("t1") ? "t2" : "t1";
             return request.rawAnswer(200, other, "Content-Length: 2", "Coppershelf-Try-Id: " + other);
         });
         Exchange first = send("t1");
@@ -166,7 +166,7 @@
 
     @Test
     void neverUsesConnectionOfForeignAnswerAgain() throws Exception {
-        start(request -> request.tryId().equals("t1")
+        start(request -> request.attemptId().equals("t1")
                 ? request.rawAnswer(200, "", "Content-Length: 0", "Coppershelf-Try-Id: t0")
                 : request.answer(200, "own"));
         assertThat(send("t1").result().get().error()).hasValue(ErrorKind.ANSWER_FOREIGN);
@@ -191,8 +191,8 @@
         start(request -> new byte[0]);
         BackendRequest request = request("t1", LIMIT);
         BackendRequest toClosedPort = new BackendRequest(
-                request.tryId(),
-                FakeParts.server(FreePorts.address().getPort(), 2),
+                request.attemptId(),
+                FakeComponents.server(FreePorts.address().getPort(), 2),
                 request.method(),
                 request.target(),
                 request.headers(),
@@ -288,7 +288,7 @@
     void probesState(ServerState state) throws Exception {
         start(request -> request.answer(200, "", "Coppershelf-Server-State: " + state));
 
-        assertThat(client.probe(FakeParts.server(server.port(), 2), LIMIT).get())
+        assertThat(client.probe(FakeComponents.server(server.port(), 2), LIMIT).get())
                 .hasValue(state);
         assertThat(server.received().get(0).target()).isEqualTo("/coppershelf/health");
     }
@@ -297,7 +297,7 @@
     void failsProbeOfSilentServer() throws Exception {
         start(request -> stall());
         try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            ServerSpec spec = FakeParts.server(silent.getLocalPort(), 2);
+            ServerSpec spec = FakeComponents.server(silent.getLocalPort(), 2);
 
             assertThat(client.probe(spec, Duration.ofMillis(50)).get()).isEmpty();
         }
--- a/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
@@ -3,16 +3,16 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import com.google.common.collect.Range;
-import io.coppershelf.admission.AdmissionPart;
-import io.coppershelf.backend.BackendPart;
-import io.coppershelf.caller.CallerPart;
-import io.coppershelf.kernel.Part;
+import io.coppershelf.admission.AdmissionComponent;
+import io.coppershelf.backend.BackendComponent;
+import io.coppershelf.caller.CallerComponent;
+import io.coppershelf.component.Component;
 import io.coppershelf.outcome.Outcome;
-import io.coppershelf.routing.RoutingPart;
+import io.coppershelf.routing.RoutingComponent;
 import io.coppershelf.settings.Settings;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.FakeBackendServer.Received;
-import io.coppershelf.testing.FakeParts;
+import io.coppershelf.testing.FakeComponents;
 import io.coppershelf.testing.RawCaller;
 import io.coppershelf.testing.RawCaller.Reply;
 import java.io.IOException;
@@ -32,15 +32,15 @@
     private static final String CLAIM = "POST /claims HTTP/1.1\nHost: x\nIdempotency-Key: k1\nContent-Length: 2\n\nhi";
 
     private FakeBackendServer server;
-    private FakeParts fakes;
+    private FakeComponents fakes;
     private Daemon daemon;
 
     private void start(FakeBackendServer.Script script) throws IOException {
         server = FakeBackendServer.start(script);
-        fakes = FakeParts.of(FakeParts.server(server.port(), 2));
+        fakes = FakeComponents.of(FakeComponents.server(server.port(), 2));
         Settings settings = new Settings(
-                FakeParts.SELF.id(),
-                FakeParts.SELF.dataCentre(),
+                FakeComponents.SELF.id(),
+                FakeComponents.SELF.dataCentre(),
                 "127.0.0.1",
                 0,
                 0,
@@ -50,8 +50,9 @@
                 20,
                 4,
                 8_000);
-        CallerPart caller = new CallerPart();
-        List<Part> parts = List.of(fakes, new BackendPart(), new AdmissionPart(), new RoutingPart());
+        CallerComponent caller = new CallerComponent();
+        List<Component> parts =
+                List.of(fakes, new BackendComponent(), new AdmissionComponent(), new RoutingComponent());
         daemon = Daemon.start(settings, parts, caller);
     }
 
@@ -83,9 +84,9 @@
         assertThat(reply.header("X-Kept")).isEqualTo("yes");
         assertThat(reply.header("X-Dropped")).isEmpty();
         assertThat(reply.header("Coppershelf-Outcome")).isEqualTo("run");
-        Received received = server.work().get(0);
+        Received received = server.workRequests().get(0);
         assertThat(received.headers()).containsEntry("x-sent", "a");
-        assertThat(received.tryId()).isEqualTo(reply.header("Coppershelf-Request-Id") + ".1");
+        assertThat(received.attemptId()).isEqualTo(reply.header("Coppershelf-Request-Id") + ".1");
         assertThat(Long.parseLong(received.headers().get("coppershelf-deadline-ms")))
                 .isIn(Range.closed(1L, 5000L));
         assertThat(fakes.completed).containsExactly(Outcome.RUN);
@@ -110,7 +111,7 @@
         assertThat(reply.header("Coppershelf-Error")).isEqualTo(error);
         assertThat(reply.header("Coppershelf-Outcome")).isEqualTo(outcome);
         assertThat(reply.body()).contains("\"requestId\":\"" + reply.header("Coppershelf-Request-Id"));
-        assertThat(server.work()).hasSize(tries);
+        assertThat(server.workRequests()).hasSize(tries);
     }
 
     private static byte[] faulty(String fault, Received request) {
@@ -118,7 +119,7 @@
             case "refused" -> request.answer(503, "", "Coppershelf-Execution: not-started");
             case "late" -> request.answer(504, "", "Coppershelf-Execution: not-started");
             case "foreign" -> request.rawAnswer(200, "x", "Content-Length: 1", "Coppershelf-Try-Id: other");
-            case "short" -> request.rawAnswer(200, "x", "Coppershelf-Try-Id: " + request.tryId());
+            case "short" -> request.rawAnswer(200, "x", "Coppershelf-Try-Id: " + request.attemptId());
             case "large" -> request.answer(200, "x".repeat(1_001));
             default -> new byte[0];
         };
@@ -174,7 +175,7 @@
         }
         stop.join();
         assertThat(whole).isAtLeast(1);
-        assertThat(server.work()).hasSize(whole);
+        assertThat(server.workRequests()).hasSize(whole);
     }
 
     private void awaitUnready() {
@@ -209,7 +210,7 @@
         while (!next.target().startsWith("/coppershelf/cancel/")) {
             next = server.awaitRequest();
         }
-        assertThat(next.tryId()).isEqualTo(reply.header("Coppershelf-Request-Id") + ".1");
+        assertThat(next.attemptId()).isEqualTo(reply.header("Coppershelf-Request-Id") + ".1");
         never.countDown();
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
@@ -2,10 +2,10 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.belief.BeliefTable;
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.RequestKind;
+import io.coppershelf.health.estimate.HealthEstimates;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.testing.Catalogs;
 import java.util.List;
 import java.util.Optional;
@@ -17,9 +17,9 @@
 final class ServerChooserTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    private final BeliefTable beliefs = new BeliefTable();
+    private final HealthEstimates beliefs = new HealthEstimates();
     private final FleetLoad fleetLoad = new FleetLoad();
-    private final ServiceSpread spread = new ServiceSpread();
+    private final IdleServerTracker spread = new IdleServerTracker();
     private final ServerChooser chooser = new ServerChooser("here", beliefs, fleetLoad, spread, new Random(7));
     private final BackendServer near = Catalogs.server("near", "here");
     private final BackendServer far = Catalogs.server("far", "there");
@@ -49,9 +49,9 @@
     void provenServerTakesMoreThanItsSlotsBeforeASickOneIsUsed() {
         trust(near);
         beliefs.observe(far.key(), Observation.FAILURE, 0);
-        chooser.use(near).reported(7, 0);
+        chooser.stats(near).recordReportedLoad(7, 0);
         assertThat(chosen(RequestKind.ONCE)).hasValue(near);
-        chooser.use(near).reported(24, 0);
+        chooser.stats(near).recordReportedLoad(24, 0);
         assertThat(chosen(RequestKind.ONCE)).hasValue(far);
     }
 
@@ -60,7 +60,7 @@
         trust(near);
         trust(far);
         for (int vm = 0; vm < 6; vm++) {
-            fleetLoad.heard(vm, chooser.use(near).code(), 1, 0);
+            fleetLoad.recordInFlight(vm, chooser.stats(near).code(), 1, 0);
         }
         assertThat(chosen(RequestKind.ONCE)).hasValue(far);
     }
@@ -72,7 +72,7 @@
         for (int i = 0; i < 3; i++) {
             beliefs.observe(far.key(), Observation.FAILURE, 0);
         }
-        chooser.use(near).reported(12, 0);
+        chooser.stats(near).recordReportedLoad(12, 0);
         assertThat(chosen(RequestKind.REPEATABLE)).hasValue(near);
     }
 
@@ -105,18 +105,18 @@
     @Test
     void serverWithAFailedPathIsAvoidedForAWhile() {
         trust(near);
-        chooser.use(near).pathFailed(0);
+        chooser.stats(near).recordPathFailure(0);
         assertThat(chosen(RequestKind.ONCE)).hasValue(far);
-        assertThat(chooser.use(near).isPathAvoided(2 * SECOND)).isFalse();
+        assertThat(chooser.stats(near).isInBackoff(2 * SECOND)).isFalse();
     }
 
     @Test
     void nothingIsKnownOfANewIncarnation() {
-        chooser.use(near).pathFailed(0);
+        chooser.stats(near).recordPathFailure(0);
         BackendServer restarted = new BackendServer(
                 near.id(), 2, near.service(), near.address(), near.dataCentre(), near.slots(), true, 0);
-        assertThat(chooser.use(restarted).isPathAvoided(0)).isFalse();
-        assertThat(chooser.use(restarted)).isSameInstanceAs(chooser.use(restarted));
+        assertThat(chooser.stats(restarted).isInBackoff(0)).isFalse();
+        assertThat(chooser.stats(restarted)).isSameInstanceAs(chooser.stats(restarted));
     }
 
     @Test
@@ -127,7 +127,7 @@
 
     private void used(BackendServer server) {
         for (int i = 0; i < 20; i++) {
-            spread.began(chooser.use(server).code(), 0);
+            spread.recordRequest(chooser.stats(server).code(), 0);
         }
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/mesh/FleetStateTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/FleetStateTest.java
@@ -82,7 +82,7 @@
         Random random = new Random(1);
         Membership membership = new Membership(address, 1, List.of(first, second), random, System.nanoTime());
         FleetState state =
-                new FleetState(loops.next(), platform, FleetEvidence.create(), membership, random, EventLog.NONE);
+                new FleetState(loops.next(), platform, FleetObservations.create(), membership, random, EventLog.NONE);
         state.start(address);
         return state;
     }
@@ -102,23 +102,25 @@
         @Override
         public void readAll(Listener listener) {
             snapshot.ifPresentOrElse(
-                    current -> listener.read(current.content()), () -> listener.failed(Failure.UNAVAILABLE, "refused"));
+                    current -> listener.readSucceeded(current.content()),
+                    () -> listener.readFailed(Failure.UNAVAILABLE, "refused"));
         }
 
         @Override
         public void readChanges(long revision, Duration wait, Listener listener) {
             snapshot.ifPresentOrElse(
-                    current -> listener.read(new CatalogChange(
+                    current -> listener.readSucceeded(new CatalogChange(
                             revision,
                             current.content().revision(),
                             current.content().configuration(),
                             List.of(),
                             current.content().removed())),
-                    () -> listener.failed(Failure.UNAVAILABLE, "refused"));
+                    () -> listener.readFailed(Failure.UNAVAILABLE, "refused"));
         }
 
         @Override
-        public void readConfigurationCheaply(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure) {
+        public void readConfigurationAllowingStale(
+                long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure) {
             snapshot.flatMap(current -> current.content().configuration()).ifPresentOrElse(onRead, onFailure);
         }
     }
