--- a/coppershelf/src/test/java/io/coppershelf/proxy/FakeTrafficState.java
+++ b/coppershelf/src/test/java/io/coppershelf/proxy/FakeControlState.java
@@ -1,13 +1,13 @@
 package io.coppershelf.proxy;
 
-import io.coppershelf.belief.Observation;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.Catalog;
+import io.coppershelf.health.estimate.Observation;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** The control state of a VM that a test sets. */
-final class FakeTrafficState implements TrafficState {
+final class FakeControlState implements ControlState {
     private volatile Catalog catalog = Catalog.EMPTY;
     private volatile boolean isStopping;
     private final List<Observation> observations = new CopyOnWriteArrayList<>();
--- a/coppershelf/src/test/java/io/coppershelf/proxy/TrafficServerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/proxy/TrafficServerTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.belief.Observation;
+import io.coppershelf.health.estimate.Observation;
 import io.coppershelf.testing.FakeBackendServer;
 import io.coppershelf.testing.RawCaller;
 import java.io.IOException;
@@ -288,7 +288,7 @@
             proxy.serve(server);
             caller.send(ProxyFixture.request("GET", "/safe/1", 3000));
             assertThat(caller.reply().body()).isEqualTo("read");
-            caller.sendLossy(ProxyFixture.request("GET", "/safe/2", 3000));
+            caller.sendIgnoringErrors(ProxyFixture.request("GET", "/safe/2", 3000));
             TimeUnit.MILLISECONDS.sleep(200);
             assertThat(server.received()).hasSize(1);
         }
