--- a/coppershelf/src/main/java/io/coppershelf/component/Component.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/Component.java
@@ -3,31 +3,31 @@
 import java.time.Duration;
 
 /**
- * One part of the daemon. The kernel starts the parts in the order given and stops them in the reverse order.
+ * A component of the daemon. Components are started in the given order and stopped in reverse order.
  *
- * <p>A part registers what it offers in {@link #register} and looks up what it needs in {@link #start}, so that parts
- * may need each other.
+ * <p>A component registers what it provides in {@link #register} and looks up its dependencies in {@link #start}, so
+ * components may depend on each other.
  */
 public interface Component {
-    /** Returns the name of the part, also the prefix of its log lines. */
+    /** Returns the name of the component, which is also the prefix of its log lines. */
     String name();
 
-    /** Registers the services that this part offers. */
+    /** Registers the interfaces that this component provides. */
     void register(ComponentRegistry registry);
 
-    /** Looks up the services of other parts and begins work. */
+    /** Looks up the dependencies of this component and starts it. */
     void start(ComponentRegistry registry);
 
     /**
-     * Hears that the process is about to stop, before any part is stopped: the part tells the outside that new work
-     * should go elsewhere, and goes on with its own.
+     * Called when the process is about to stop, before any component is stopped. The component announces that new work
+     * should go elsewhere, and continues its current work.
      */
     default void announceStop() {}
 
     /**
-     * Takes no new work and finishes what is under way, for at most {@code limit}.
+     * Accepts no new work and finishes the work in progress, for at most {@code limit}.
      *
-     * @param limit the time after which the part gives up what is left
+     * @param limit the time after which remaining work is abandoned
      */
     void stop(Duration limit);
 }
--- a/coppershelf/src/main/java/io/coppershelf/component/ComponentKey.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/ComponentKey.java
@@ -1,14 +1,14 @@
 package io.coppershelf.component;
 
 /**
- * The name and type under which a service is registered.
+ * The name and type under which a component registers an interface.
  *
  * @param name the name, unique within a process
- * @param type the interface that the service offers
- * @param <T> the interface that the service offers
+ * @param type the registered interface
+ * @param <T> the registered interface
  */
 public record ComponentKey<T>(String name, Class<T> type) {
-    /** Returns the name of a service with the given interface. */
+    /** Returns the key of the given interface. */
     public static <T> ComponentKey<T> named(String name, Class<T> type) {
         return new ComponentKey<>(name, type);
     }
--- a/coppershelf/src/main/java/io/coppershelf/component/ComponentRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/ComponentRegistry.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentMap;
 
 /**
- * The services of a process by name. Safe for use by several threads.
+ * The interfaces that the components of a process provide, by key. Safe for use by several threads.
  *
  * <pre>{@code
  * registry.register(ControlThread.NAME, controlThread);
@@ -15,33 +15,33 @@
  * }</pre>
  */
 public final class ComponentRegistry {
-    private final ConcurrentMap<String, Object> services = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, Object> implementations = new ConcurrentHashMap<>();
 
     /**
-     * Registers a service.
+     * Registers the implementation of an interface.
      *
-     * @throws IllegalStateException if the name is taken
+     * @throws IllegalStateException if the name is already registered
      */
-    public <T> void register(ComponentKey<T> name, T service) {
-        Object present = services.putIfAbsent(name.name(), name.type().cast(service));
+    public <T> void register(ComponentKey<T> key, T implementation) {
+        Object present = implementations.putIfAbsent(key.name(), key.type().cast(implementation));
         if (present != null) {
-            throw new IllegalStateException("service \"" + name.name() + "\" is already registered");
+            throw new IllegalStateException("component \"" + key.name() + "\" is already registered");
         }
     }
 
-    /** Returns the service of the given name, empty if there is none. */
-    public <T> Optional<T> find(ComponentKey<T> name) {
-        return Optional.ofNullable(services.get(name.name())).map(name.type()::cast);
+    /** Returns the implementation that is registered under the given key, empty if there is none. */
+    public <T> Optional<T> find(ComponentKey<T> key) {
+        return Optional.ofNullable(implementations.get(key.name())).map(key.type()::cast);
     }
 
     /**
-     * Returns the service of the given name.
+     * Returns the implementation that is registered under the given key.
      *
      * @throws CoppershelfException with {@link ErrorKind#SERVICE_MISSING} if there is none
      */
-    public <T> T require(ComponentKey<T> name) {
-        return find(name)
+    public <T> T require(ComponentKey<T> key) {
+        return find(key)
                 .orElseThrow(() -> CoppershelfException.of(
-                        ErrorKind.SERVICE_MISSING, "no service named \"" + name.name() + "\" is registered"));
+                        ErrorKind.SERVICE_MISSING, "no component named \"" + key.name() + "\" is registered"));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/component/ControlThread.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/ControlThread.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** The one thread that owns the control state of a process; traffic threads read snapshots that it publishes. */
+/** The single thread that owns the control state of a process; traffic threads read snapshots that it publishes. */
 public interface ControlThread {
     ComponentKey<ControlThread> NAME = ComponentKey.named("control", ControlThread.class);
 
@@ -12,6 +12,6 @@
     /** Runs the task once, after the delay. */
     void after(Duration delay, Runnable task);
 
-    /** Runs the task again and again; a failure of one run is logged and does not end the series. */
+    /** Runs the task repeatedly with a fixed delay between runs; a failed run is logged and does not end the series. */
     void every(Duration interval, Runnable task);
 }
--- a/coppershelf/src/main/java/io/coppershelf/component/TimeSource.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/TimeSource.java
@@ -1,6 +1,6 @@
 package io.coppershelf.component;
 
-/** Where a process reads its time; decisions never do, they are handed the time of each event. */
+/** The clock of a process. Decision code does not read it; it receives the time of each event as an argument. */
 public interface TimeSource {
     ComponentKey<TimeSource> NAME = ComponentKey.named("time", TimeSource.class);
 
@@ -10,7 +10,7 @@
     /** Returns the wall clock in milliseconds since 1970, for reports only. */
     long wallMillis();
 
-    /** Returns the time of the running machine. */
+    /** Returns the clock of this machine. */
     static TimeSource system() {
         return new TimeSource() {
             @Override
--- a/coppershelf/src/main/java/io/coppershelf/component/internal/ComponentManager.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/internal/ComponentManager.java
@@ -9,62 +9,62 @@
 import java.util.List;
 
 /**
- * Starts the parts of a process in the order given and stops them in the reverse order.
+ * Starts the components of a process in the given order and stops them in reverse order.
  *
- * <p>If a part fails to start, those started before it are stopped and the failure goes on to the caller.
+ * <p>If a component fails to start, the components started before it are stopped and the exception is rethrown.
  */
 public final class ComponentManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final ComponentRegistry registry;
-    private final List<Component> parts;
+    private final List<Component> components;
     private final Deque<Component> started = new ArrayDeque<>();
 
-    /** Creates a kernel with the given parts, in the order of their start. */
-    public ComponentManager(ComponentRegistry registry, List<Component> parts) {
+    /** Creates a manager of the given components, in the order of their start. */
+    public ComponentManager(ComponentRegistry registry, List<Component> components) {
         this.registry = registry;
-        this.parts = List.copyOf(parts);
+        this.components = List.copyOf(components);
     }
 
-    /** Registers the services of all parts, then starts them. */
+    /** Lets all components register their interfaces, then starts them. */
     public void start() {
-        parts.forEach(part -> part.register(registry));
-        for (Component part : parts) {
-            startPart(part);
+        components.forEach(component -> component.register(registry));
+        for (Component component : components) {
+            startComponent(component);
         }
     }
 
-    private void startPart(Component part) {
+    private void startComponent(Component component) {
         try {
-            part.start(registry);
-            started.push(part);
+            component.start(registry);
+            started.push(component);
         } catch (RuntimeException e) {
-            logger.atSevere().log("[kernel] Part %s did not start.", part.name());
+            logger.atSevere().log("[daemon] Component %s failed to start.", component.name());
             stop(Duration.ZERO);
             throw e;
         }
     }
 
     /**
-     * Announces the stop to all parts, then stops them in the reverse order of their start.
+     * Announces the stop to all components, then stops them in the reverse order of their start.
      *
-     * @param limit the longest time for all parts together
+     * @param limit the time limit for all components together
      */
     public void stop(Duration limit) {
-        long end = System.nanoTime() + limit.toNanos();
-        started.forEach(part -> attempt(part, "announce the stop of", part::announceStop));
+        long endNanos = System.nanoTime() + limit.toNanos();
+        started.forEach(component -> runStep(component, "announce the stop of", component::announceStop));
         while (!started.isEmpty()) {
-            Component part = started.pop();
-            Duration left = Duration.ofNanos(Math.max(0, end - System.nanoTime()));
-            attempt(part, "stop", () -> part.stop(left));
+            Component component = started.pop();
+            Duration remaining = Duration.ofNanos(Math.max(0, endNanos - System.nanoTime()));
+            runStep(component, "stop", () -> component.stop(remaining));
         }
     }
 
-    private static void attempt(Component part, String step, Runnable task) {
+    private static void runStep(Component component, String step, Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            logger.atSevere().withCause(e).log("[kernel] Failed to %s part %s.", step, part.name());
+            logger.atSevere().withCause(e).log("[daemon] Failed to %s component %s.", step, component.name());
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/component/internal/SingleControlThread.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/internal/SingleControlThread.java
@@ -7,7 +7,9 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** A control thread over one scheduled executor thread. Tasks handed in after {@link #close} are dropped. */
+/**
+ * A control thread backed by a single-threaded scheduled executor. Tasks submitted after {@link #close} are dropped.
+ */
 public final class SingleControlThread implements ControlThread, AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -37,7 +39,7 @@
                 () -> run(task), interval.toNanos(), interval.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Ends the thread after the task under way. */
+    /** Ends the thread after the current task. */
     @Override
     public void close() {
         executor.shutdown();
@@ -47,7 +49,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            logger.atSevere().withCause(e).log("[kernel] A control task failed.");
+            logger.atSevere().withCause(e).log("[control] A control task failed.");
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/component/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/internal/package-info.java
@@ -1,2 +1,2 @@
-/** The running micro-kernel: starts and stops the parts of a process, and its control thread. */
+/** Starts and stops the components of a process and runs its control thread. */
 package io.coppershelf.component.internal;
--- a/coppershelf/src/main/java/io/coppershelf/component/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The micro-kernel: a registry of services that find each other by name, the life cycle of the parts that offer them,
- * and the one thread that owns the control state.
+ * The component framework of a process: the life cycle of its components, the registry in which they find each other,
+ * and the single thread that owns the control state.
  */
 package io.coppershelf.component;
--- a/coppershelf/src/test/java/io/coppershelf/component/internal/ComponentManagerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/component/internal/ComponentManagerTest.java
@@ -15,7 +15,7 @@
 class ComponentManagerTest {
     private final List<String> steps = new ArrayList<>();
 
-    private Component part(String name, String failingStep) {
+    private Component component(String name, String failingStep) {
         return new Component() {
             @Override
             public String name() {
@@ -53,9 +53,10 @@
 
     @Test
     void startsInOrderAndStopsInReverseOrderAfterTheAnnouncement() {
-        ComponentManager kernel = new ComponentManager(new ComponentRegistry(), List.of(part("a", ""), part("b", "")));
-        kernel.start();
-        kernel.stop(Duration.ofSeconds(1));
+        ComponentManager manager =
+                new ComponentManager(new ComponentRegistry(), List.of(component("a", ""), component("b", "")));
+        manager.start();
+        manager.stop(Duration.ofSeconds(1));
 
         assertThat(steps)
                 .containsExactly(
@@ -71,28 +72,28 @@
     }
 
     @Test
-    void stopsAllPartsThoughOneFails() {
-        ComponentManager kernel =
-                new ComponentManager(new ComponentRegistry(), List.of(part("a", ""), part("b", "stop")));
-        kernel.start();
-        kernel.stop(Duration.ofSeconds(1));
+    void stopsAllComponentsEvenIfOneFails() {
+        ComponentManager manager =
+                new ComponentManager(new ComponentRegistry(), List.of(component("a", ""), component("b", "stop")));
+        manager.start();
+        manager.stop(Duration.ofSeconds(1));
 
         assertThat(steps).contains("stop a");
     }
 
     @Test
-    void stopsWhatHadStartedIfOnePartDoesNotStart() {
-        ComponentManager kernel = new ComponentManager(
-                new ComponentRegistry(), List.of(part("a", ""), part("b", "start"), part("c", "")));
+    void stopsStartedComponentsIfOneFailsToStart() {
+        ComponentManager manager = new ComponentManager(
+                new ComponentRegistry(), List.of(component("a", ""), component("b", "start"), component("c", "")));
 
-        assertThrows(IllegalStateException.class, kernel::start);
+        assertThrows(IllegalStateException.class, manager::start);
 
         assertThat(steps).contains("stop a");
         assertThat(steps).doesNotContain("start c");
     }
 
     @Test
-    void controlThreadGoesOnAfterAFailedTask() throws InterruptedException {
+    void controlThreadContinuesAfterAFailedTask() throws InterruptedException {
         BlockingQueue<Integer> runs = new LinkedBlockingQueue<>();
         try (SingleControlThread control = new SingleControlThread()) {
             control.every(Duration.ofMillis(1), () -> {
