--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendComponent.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** The part that sends to backend servers. */
+/** The component that sends requests to backend servers. */
 public final class BackendComponent implements Component {
     private ExecutorService executor;
 
-    /** Creates the part and sets the properties of the JDK's client, before its classes load. */
+    /** Creates the component and sets the system properties of the JDK's HTTP client before its classes are loaded. */
     public BackendComponent() {
         HttpClientHolder.applySystemProperties();
     }
--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendRequest.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * One try of a request on one backend server.
+ * One attempt to run a request on one backend server.
  *
- * @param attemptId unique over the fleet and all tries; the server's answer must carry it
+ * @param attemptId unique across the fleet and all attempts; the server's answer must carry it
  * @param server the server
  * @param method the HTTP method
  * @param target the path and query
- * @param headers the caller's headers that go on, without hop-by-hop ones and ours
- * @param body the whole body
- * @param deadlineNanos the monotonic time after which the answer is of no use
+ * @param headers the caller's headers to forward, without hop-by-hop headers and those that coppershelf owns
+ * @param body the complete body
+ * @param deadlineNanos the monotonic time in nanoseconds after which an answer is too late
  * @param largestAnswer the largest answer body in bytes
  */
 public record BackendRequest(
--- a/coppershelf/src/main/java/io/coppershelf/backend/HeaderRules.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/HeaderRules.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * Which HTTP headers go on from one hop to the next: neither hop-by-hop headers nor those that coppershelf owns.
+ * Decides which HTTP headers are forwarded: neither hop-by-hop headers nor those that coppershelf owns.
  *
  * @see <a href="https://www.rfc-editor.org/rfc/rfc9110#section-7.6.1">RFC 9110, section 7.6.1</a>
  */
@@ -17,7 +17,7 @@
     /** The prefix, in lower case, of all headers that coppershelf owns. */
     public static final String OWNED_PREFIX = "coppershelf-";
 
-    private static final Set<String> PER_HOP = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "content-length",
             "expect",
@@ -33,13 +33,13 @@
 
     private HeaderRules() {}
 
-    /** Returns whether a header, by its name in lower case, concerns one hop alone. */
+    /** Returns whether a header is hop-by-hop, by its name in lower case. */
     public static boolean isHopByHop(String lowerCaseName) {
-        return PER_HOP.contains(lowerCaseName);
+        return HOP_BY_HOP.contains(lowerCaseName);
     }
 
     /**
-     * Returns the headers that go on, without those that the {@code Connection} header names.
+     * Returns the headers to forward. Headers that the {@code Connection} header names are hop-by-hop too.
      *
      * @param headers the header lines by name, in any case
      */
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/AnswerHandler.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/AnswerHandler.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * Checks the head of an answer before its body is read: that it belongs to the try, that its length is stated, and that
- * it is not too large.
+ * Checks the head of an answer before its body is read: the answer must belong to the attempt, state its length, and
+ * not be too large.
  */
 final class AnswerHandler implements BodyHandler<byte[]> {
     private final BackendRequest request;
@@ -21,26 +21,26 @@
         this.request = request;
     }
 
-    /** Returns whether the head of the answer arrived. */
+    /** Returns whether the head of the answer has been received. */
     boolean isHeadReceived() {
         return body.isPresent();
     }
 
-    /** Stops reading the body, which closes its connection; does nothing before the head has arrived. */
+    /** Stops reading the body, which closes its connection; does nothing before the head has been received. */
     void abandon() {
         body.ifPresent(BoundedBody::abandon);
     }
 
     @Override
     public BodySubscriber<byte[]> apply(ResponseInfo info) {
-        BoundedBody created = fault(info)
-                .map(fault -> BoundedBody.rejecting(fault))
+        BoundedBody created = rejection(info)
+                .map(rejection -> BoundedBody.rejecting(rejection))
                 .orElseGet(() -> BoundedBody.upTo(request.largestAnswer()));
         body = Optional.of(created);
         return created;
     }
 
-    private Optional<CoppershelfException> fault(ResponseInfo info) {
+    private Optional<CoppershelfException> rejection(ResponseInfo info) {
         HttpHeaders headers = info.headers();
         if (!ServerProtocol.belongsTo(headers, request.attemptId())) {
             return Optional.of(foreign(headers));
@@ -48,7 +48,7 @@
         if (!hasStatedLength(info)) {
             return Optional.of(CoppershelfException.of(
                     ErrorKind.ANSWER_TRUNCATED,
-                    "the answer states no length or two, so it can't be known to be whole"));
+                    "the answer does not state its length exactly once, so a truncated answer could not be detected"));
         }
         if (headers.firstValueAsLong("content-length").orElse(0) > request.largestAnswer() && !isHead()) {
             return Optional.of(BoundedBody.tooLarge(request.largestAnswer()));
@@ -57,10 +57,10 @@
     }
 
     private CoppershelfException foreign(HttpHeaders headers) {
-        String actual = headers.firstValue(ServerProtocol.TRY_ID).orElse("none");
+        String actual = headers.firstValue(ServerProtocol.ATTEMPT_ID).orElse("none");
         return CoppershelfException.of(
                 ErrorKind.ANSWER_FOREIGN,
-                "expected an answer to try " + request.attemptId() + " but got one to " + actual);
+                "expected an answer to attempt " + request.attemptId() + " but got one to " + actual);
     }
 
     private boolean hasStatedLength(ResponseInfo info) {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/BoundedBody.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/BoundedBody.java
@@ -11,27 +11,30 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow.Subscription;
 
-/** Collects a body up to a limit. A body that is refused or too large is not read on, which closes its connection. */
+/**
+ * Collects a body up to a size limit. Reading stops when the body is rejected or too large, which closes its
+ * connection.
+ */
 final class BoundedBody implements BodySubscriber<byte[]> {
-    private final CompletableFuture<byte[]> whole = new CompletableFuture<>();
+    private final CompletableFuture<byte[]> body = new CompletableFuture<>();
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    private final Optional<CoppershelfException> refusal;
+    private final Optional<CoppershelfException> rejection;
     private final int limit;
     private volatile Subscription subscription;
 
-    private BoundedBody(Optional<CoppershelfException> refusal, int limit) {
-        this.refusal = refusal;
+    private BoundedBody(Optional<CoppershelfException> rejection, int limit) {
+        this.rejection = rejection;
         this.limit = limit;
     }
 
-    /** Returns a subscriber that takes no more than the given number of bytes. */
+    /** Returns a subscriber that accepts at most the given number of bytes. */
     static BoundedBody upTo(int limit) {
         return new BoundedBody(Optional.empty(), limit);
     }
 
-    /** Returns a subscriber that reads nothing and fails. */
-    static BoundedBody rejecting(CoppershelfException refusal) {
-        return new BoundedBody(Optional.of(refusal), 0);
+    /** Returns a subscriber that fails with the given exception without reading the body. */
+    static BoundedBody rejecting(CoppershelfException rejection) {
+        return new BoundedBody(Optional.of(rejection), 0);
     }
 
     static CoppershelfException tooLarge(int limit) {
@@ -41,14 +44,14 @@
 
     @Override
     public CompletionStage<byte[]> getBody() {
-        return whole;
+        return body;
     }
 
     @Override
     public void onSubscribe(Subscription newSubscription) {
         subscription = newSubscription;
-        if (refusal.isPresent()) {
-            refuse(refusal.get());
+        if (rejection.isPresent()) {
+            reject(rejection.get());
             return;
         }
         subscription.request(Long.MAX_VALUE);
@@ -57,16 +60,16 @@
     @Override
     public void onNext(List<ByteBuffer> buffers) {
         for (ByteBuffer buffer : buffers) {
-            if (whole.isDone()) {
+            if (body.isDone()) {
                 return;
             }
-            take(buffer);
+            append(buffer);
         }
     }
 
-    private void take(ByteBuffer buffer) {
+    private void append(ByteBuffer buffer) {
         if (bytes.size() + (long) buffer.remaining() > limit) {
-            refuse(tooLarge(limit));
+            reject(tooLarge(limit));
             return;
         }
         byte[] chunk = new byte[buffer.remaining()];
@@ -74,28 +77,28 @@
         bytes.writeBytes(chunk);
     }
 
-    private void refuse(CoppershelfException reason) {
-        whole.completeExceptionally(reason);
+    private void reject(CoppershelfException reason) {
+        body.completeExceptionally(reason);
         subscription.cancel();
     }
 
-    /** Stops reading, if the body is not whole yet; its connection is closed and no other. */
+    /** Stops reading if the body is not complete yet; this closes the connection of this exchange only. */
     void abandon() {
-        Optional<Subscription> reading = Optional.ofNullable(subscription);
-        boolean isUnfinished = whole.completeExceptionally(CoppershelfException.of(
-                ErrorKind.DEADLINE_PASSED, "the try was given up while its answer was on its way"));
-        if (isUnfinished) {
-            reading.ifPresent(Subscription::cancel);
+        Optional<Subscription> activeSubscription = Optional.ofNullable(subscription);
+        boolean isAborted = body.completeExceptionally(CoppershelfException.of(
+                ErrorKind.DEADLINE_PASSED, "the attempt was aborted while its answer was being received"));
+        if (isAborted) {
+            activeSubscription.ifPresent(Subscription::cancel);
         }
     }
 
     @Override
     public void onError(Throwable failure) {
-        whole.completeExceptionally(failure);
+        body.completeExceptionally(failure);
     }
 
     @Override
     public void onComplete() {
-        whole.complete(bytes.toByteArray());
+        body.complete(bytes.toByteArray());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
@@ -5,22 +5,25 @@
 import java.util.concurrent.ConcurrentMap;
 import java.util.concurrent.Semaphore;
 
-/** Limits the exchanges under way to each server: one per slot for tries, and a few more to cancel and probe. */
+/**
+ * Limits the concurrent exchanges with each server: one per slot for attempts, and a few more for cancellations and
+ * probes.
+ */
 final class ConnectionLimits {
-    /** The exchanges with one server that may cancel or probe at once. */
-    static final int CONTROL_CONNECTIONS = 2;
+    /** The maximum number of concurrent cancellations and probes per server. */
+    static final int MAX_CONTROL_EXCHANGES = 2;
 
     private final ConcurrentMap<Address, Semaphore> forTries = new ConcurrentHashMap<>();
     private final ConcurrentMap<Address, Semaphore> forControl = new ConcurrentHashMap<>();
 
-    /** Returns the connections to the server that tries may use. */
+    /** Returns the permits for attempts on the server. */
     Semaphore forAttempts(ServerSpec server) {
         return forTries.computeIfAbsent(Address.of(server), key -> new Semaphore(server.slots()));
     }
 
-    /** Returns the connections to the server that cancellations and probes may use. */
+    /** Returns the permits for cancellations and probes of the server. */
     Semaphore forControl(ServerSpec server) {
-        return forControl.computeIfAbsent(Address.of(server), key -> new Semaphore(CONTROL_CONNECTIONS));
+        return forControl.computeIfAbsent(Address.of(server), key -> new Semaphore(MAX_CONTROL_EXCHANGES));
     }
 
     private record Address(String host, int port, int slots) {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/FailureKinds.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/FailureKinds.java
@@ -5,18 +5,18 @@
 import java.net.ConnectException;
 import java.net.http.HttpConnectTimeoutException;
 
-/** Finds the error kind of a failed HTTP exchange. */
+/** Maps the failure of an HTTP exchange to an error kind. */
 final class FailureKinds {
     private FailureKinds() {}
 
     /**
-     * Returns the kind.
+     * Returns the error kind of a failure.
      *
      * <p>Only a failure to connect proves that nothing was sent.
      *
-     * @param isHeadSeen whether the head of the answer had arrived
+     * @param isHeadReceived whether the head of the answer had been received
      */
-    static ErrorKind of(Throwable failure, boolean isHeadSeen) {
+    static ErrorKind of(Throwable failure, boolean isHeadReceived) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof CoppershelfException coded) {
                 return coded.kind();
@@ -25,6 +25,6 @@
                 return ErrorKind.NO_SERVER;
             }
         }
-        return isHeadSeen ? ErrorKind.ANSWER_TRUNCATED : ErrorKind.SERVER_LOST;
+        return isHeadReceived ? ErrorKind.ANSWER_TRUNCATED : ErrorKind.SERVER_LOST;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
@@ -19,57 +19,57 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One try on its way. Its result is set once: by the answer, by a failure, or by what the server says when asked to
- * cancel.
+ * An attempt in flight. Its result is set once: by the answer, by a failure, or by the server's reply to a
+ * cancellation.
  */
 final class HttpAttempt implements BackendClient.Exchange {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final BackendRequest request;
-    private final HttpClientHolder clients;
-    private final ConnectionLimits connections;
+    private final HttpClientHolder clientHolder;
+    private final ConnectionLimits limits;
     private final TimeSource time;
     private final CompletableFuture<BackendResult> result = new CompletableFuture<>();
     private final AtomicBoolean isCancelled = new AtomicBoolean();
-    private volatile Optional<ErrorKind> givenUpAs = Optional.empty();
+    private volatile Optional<ErrorKind> abortKind = Optional.empty();
     private final AnswerHandler handler;
-    private volatile CompletableFuture<HttpResponse<byte[]>> http = new CompletableFuture<>();
+    private volatile CompletableFuture<HttpResponse<byte[]>> exchange = new CompletableFuture<>();
 
-    HttpAttempt(BackendRequest request, HttpClientHolder clients, ConnectionLimits connections, TimeSource time) {
+    HttpAttempt(BackendRequest request, HttpClientHolder clientHolder, ConnectionLimits limits, TimeSource time) {
         this.request = request;
-        this.clients = clients;
-        this.connections = connections;
+        this.clientHolder = clientHolder;
+        this.limits = limits;
         this.time = time;
         this.handler = new AnswerHandler(request);
     }
 
-    /** Sends the try, unless it is too late or the server has no connection left for it. */
+    /** Sends the attempt, unless its deadline has passed or all connections to the server are in use. */
     void start() {
-        Semaphore connection = connections.forAttempts(request.server());
-        if (!connection.tryAcquire()) {
+        Semaphore permit = limits.forAttempts(request.server());
+        if (!permit.tryAcquire()) {
             end(ErrorKind.OVERLOADED);
             return;
         }
         long remainingMillis = (request.deadlineNanos() - time.nanos()) / NANOS_PER_MILLI;
         if (remainingMillis < 1) {
-            connection.release();
+            permit.release();
             end(ErrorKind.DEADLINE_BEFORE_RUN);
             return;
         }
-        sendNow(remainingMillis, connection);
+        send(remainingMillis, permit);
     }
 
-    private void sendNow(long remainingMillis, Semaphore connection) {
+    private void send(long remainingMillis, Semaphore permit) {
         try {
             HttpRequest httpRequest = ServerProtocol.attemptRequest(request, remainingMillis);
-            http = clients.current().sendAsync(httpRequest, handler);
+            exchange = clientHolder.current().sendAsync(httpRequest, handler);
         } catch (IllegalArgumentException e) {
-            connection.release();
+            permit.release();
             end(ErrorKind.MALFORMED_REQUEST);
             return;
         }
-        var unused = http.whenComplete((answer, failure) -> {
-            connection.release();
+        var unused = exchange.whenComplete((answer, failure) -> {
+            permit.release();
             end(failure == null ? answered(answer) : failed(failure));
         });
     }
@@ -82,18 +82,18 @@
         if (ServerProtocol.isNotStarted(answer.headers()) && answer.statusCode() == 504) {
             return BackendResult.failed(ErrorKind.DEADLINE_BEFORE_RUN, state);
         }
-        Answer whole = new Answer(
+        Answer complete = new Answer(
                 answer.statusCode(), HeaderRules.forwardable(answer.headers().map()), answer.body());
-        return BackendResult.answered(whole, state);
+        return BackendResult.answered(complete, state);
     }
 
     private BackendResult failed(Throwable failure) {
-        if (givenUpAs.isPresent()) {
-            return BackendResult.failed(givenUpAs.get(), ServerState.UNSTATED);
+        if (abortKind.isPresent()) {
+            return BackendResult.failed(abortKind.get(), ServerState.UNSTATED);
         }
         ErrorKind kind = FailureKinds.of(failure, handler.isHeadReceived());
         if (kind == ErrorKind.ANSWER_FOREIGN) {
-            clients.replace();
+            clientHolder.replace();
         }
         return BackendResult.failed(kind, ServerState.UNSTATED);
     }
@@ -108,47 +108,48 @@
         if (result.isDone() || !isCancelled.compareAndSet(false, true)) {
             return;
         }
-        Semaphore connection = connections.forControl(request.server());
-        if (limit.isZero() || limit.isNegative() || !connection.tryAcquire()) {
-            giveUp(ErrorKind.DEADLINE_PASSED);
+        Semaphore permit = limits.forControl(request.server());
+        if (limit.isZero() || limit.isNegative() || !permit.tryAcquire()) {
+            abort(ErrorKind.DEADLINE_PASSED);
             return;
         }
-        var unused = clients.current()
+        var unused = clientHolder
+                .current()
                 .sendAsync(ServerProtocol.cancelRequest(request, limit), BodyHandlers.discarding())
                 .whenComplete((answer, failure) -> {
-                    connection.release();
-                    hearCancelAnswer(answer, limit);
+                    permit.release();
+                    handleCancelAnswer(answer, limit);
                 });
     }
 
-    private void hearCancelAnswer(HttpResponse<?> answer, Duration limit) {
-        boolean isTrusted = answer != null
+    private void handleCancelAnswer(HttpResponse<?> answer, Duration limit) {
+        boolean isValid = answer != null
                 && answer.statusCode() == 200
                 && ServerProtocol.belongsTo(answer.headers(), request.attemptId());
-        if (isTrusted && ServerProtocol.isNotStarted(answer.headers())) {
-            giveUp(ErrorKind.DEADLINE_BEFORE_RUN);
+        if (isValid && ServerProtocol.isNotStarted(answer.headers())) {
+            abort(ErrorKind.DEADLINE_BEFORE_RUN);
             return;
         }
-        if (isTrusted && ServerProtocol.isFinished(answer.headers())) {
+        if (isValid && ServerProtocol.isFinished(answer.headers())) {
             CompletableFuture.delayedExecutor(limit.toNanos(), TimeUnit.NANOSECONDS)
-                    .execute(() -> giveUp(ErrorKind.DEADLINE_PASSED));
+                    .execute(() -> abort(ErrorKind.DEADLINE_PASSED));
             return;
         }
-        giveUp(ErrorKind.DEADLINE_PASSED);
+        abort(ErrorKind.DEADLINE_PASSED);
     }
 
     /**
-     * Closes the connection of the try and sets the result, unless the answer has just come.
+     * Closes the connection of the attempt and sets the result, unless the answer has already set it.
      *
-     * <p>The JDK's client closes the connection of a cancelled exchange even after it went back to the pool and on to
-     * another exchange. So once the head is there, only the reading of the body is stopped.
+     * <p>The JDK's client closes the connection of a cancelled exchange even if the connection has returned to the pool
+     * and serves another exchange. So once the head has been received, only the reading of the body is stopped.
      */
-    private void giveUp(ErrorKind kind) {
-        givenUpAs = Optional.of(kind);
+    private void abort(ErrorKind kind) {
+        abortKind = Optional.of(kind);
         if (handler.isHeadReceived()) {
             handler.abandon();
         } else {
-            http.cancel(true);
+            exchange.cancel(true);
         }
         end(kind);
     }
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpBackendClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpBackendClient.java
@@ -12,37 +12,38 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Semaphore;
 
-/** Sends tries, cancellations and probes over the JDK's HTTP client. */
+/** Sends attempts, cancellations and probes with the JDK's HTTP client. */
 public final class HttpBackendClient implements BackendClient {
     private static final int OK = 200;
 
-    private final HttpClientHolder clients;
+    private final HttpClientHolder clientHolder;
     private final TimeSource time;
-    private final ConnectionLimits connections = new ConnectionLimits();
+    private final ConnectionLimits limits = new ConnectionLimits();
 
     /** Creates a client. */
-    public HttpBackendClient(HttpClientHolder clients, TimeSource time) {
-        this.clients = clients;
+    public HttpBackendClient(HttpClientHolder clientHolder, TimeSource time) {
+        this.clientHolder = clientHolder;
         this.time = time;
     }
 
     @Override
     public Exchange send(BackendRequest request) {
-        HttpAttempt httpTry = new HttpAttempt(request, clients, connections, time);
-        httpTry.start();
-        return httpTry;
+        HttpAttempt attempt = new HttpAttempt(request, clientHolder, limits, time);
+        attempt.start();
+        return attempt;
     }
 
     @Override
     public CompletableFuture<Optional<ServerState>> probe(ServerSpec server, Duration timeout) {
-        Semaphore connection = connections.forControl(server);
-        if (!connection.tryAcquire()) {
+        Semaphore permit = limits.forControl(server);
+        if (!permit.tryAcquire()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        return clients.current()
+        return clientHolder
+                .current()
                 .sendAsync(ServerProtocol.probeRequest(server, timeout), BodyHandlers.discarding())
                 .handle((answer, failure) -> {
-                    connection.release();
+                    permit.release();
                     return Optional.ofNullable(answer).flatMap(HttpBackendClient::state);
                 });
     }
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClientHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClientHolder.java
@@ -13,7 +13,7 @@
 public final class HttpClientHolder {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration REPLACE_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration MIN_REPLACE_INTERVAL = Duration.ofSeconds(1);
 
     private final Executor executor;
     private final TimeSource time;
@@ -25,10 +25,13 @@
         this.executor = executor;
         this.time = time;
         this.client = newClient();
-        this.replacedNanos = time.nanos() - REPLACE_INTERVAL.toNanos();
+        this.replacedNanos = time.nanos() - MIN_REPLACE_INTERVAL.toNanos();
     }
 
-    /** Sets the properties that the JDK's client reads when its classes load: it must repeat nothing by itself. */
+    /**
+     * Sets the system properties that the JDK's client reads when its classes are loaded. They disable its automatic
+     * retries: it must not send a request twice.
+     */
     public static void applySystemProperties() {
         System.setProperty("jdk.httpclient.disableRetryConnect", "true");
         System.setProperty("jdk.httpclient.enableAllMethodRetry", "false");
@@ -44,12 +47,12 @@
 
     /** Replaces the client with its pooled connections, at most once per interval. */
     synchronized void replace() {
-        if (time.nanos() - replacedNanos < REPLACE_INTERVAL.toNanos()) {
+        if (time.nanos() - replacedNanos < MIN_REPLACE_INTERVAL.toNanos()) {
             return;
         }
         replacedNanos = time.nanos();
         client = newClient();
-        logger.atWarning().log("[backend] Replaced the HTTP client after a foreign answer.");
+        logger.atWarning().log("[backend] Replaced the HTTP client after an answer to another attempt.");
     }
 
     private HttpClient newClient() {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/ServerProtocol.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/ServerProtocol.java
@@ -12,9 +12,9 @@
 import java.time.Duration;
 import java.util.Locale;
 
-/** The headers and paths of the protocol with backend servers, as docs/protocols/backend.md gives them. */
+/** The headers and paths of the protocol with backend servers, as specified in docs/protocols/backend.md. */
 final class ServerProtocol {
-    static final String TRY_ID = "Coppershelf-Try-Id";
+    static final String ATTEMPT_ID = "Coppershelf-Try-Id";
     static final String DEADLINE_MILLIS = "Coppershelf-Deadline-Ms";
     static final String SERVER_STATE = "Coppershelf-Server-State";
     static final String EXECUTION = "Coppershelf-Execution";
@@ -27,7 +27,7 @@
     private ServerProtocol() {}
 
     /**
-     * Returns the HTTP request of a try.
+     * Returns the HTTP request of an attempt.
      *
      * @throws IllegalArgumentException if the target or a header can't be sent
      */
@@ -38,7 +38,7 @@
         return builder.method(
                         request.method(),
                         isEmpty ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(request.body()))
-                .setHeader(TRY_ID, request.attemptId())
+                .setHeader(ATTEMPT_ID, request.attemptId())
                 .setHeader(DEADLINE_MILLIS, Long.toString(remainingMillis))
                 .build();
     }
@@ -47,7 +47,7 @@
         String path = CANCEL_PATH + URLEncoder.encode(request.attemptId(), StandardCharsets.UTF_8);
         return HttpRequest.newBuilder(uri(request.server(), path))
                 .POST(BodyPublishers.noBody())
-                .setHeader(TRY_ID, request.attemptId())
+                .setHeader(ATTEMPT_ID, request.attemptId())
                 .timeout(timeout)
                 .build();
     }
@@ -60,8 +60,8 @@
     }
 
     static boolean belongsTo(HttpHeaders answer, String attemptId) {
-        return answer.allValues(TRY_ID).size() == 1
-                && answer.firstValue(TRY_ID).orElseThrow().equals(attemptId);
+        return answer.allValues(ATTEMPT_ID).size() == 1
+                && answer.firstValue(ATTEMPT_ID).orElseThrow().equals(attemptId);
     }
 
     static boolean isNotStarted(HttpHeaders answer) {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 towards backend servers over the JDK's client. */
+/** Sends HTTP/1.1 requests to backend servers with the JDK's client. */
 package io.coppershelf.backend.internal;
--- a/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/backend/internal/HttpBackendClientTest.java
@@ -36,7 +36,7 @@
 @Timeout(60)
 class HttpBackendClientTest {
     private static final Duration LIMIT = Duration.ofSeconds(20);
-    private static final int LARGEST_ANSWER = 100;
+    private static final int MAX_ANSWER_BYTES = 100;
     private static final String OWN_ID = "Coppershelf-Try-Id: t1";
 
     private final ExecutorService executor = Executors.newFixedThreadPool(4);
@@ -79,7 +79,7 @@
                 List.of(new BackendRequest.Header("X-Sent", "yes")),
                 new byte[] {'h', 'i'},
                 System.nanoTime() + limit.toNanos(),
-                LARGEST_ANSWER);
+                MAX_ANSWER_BYTES);
     }
 
     private Exchange send(String attemptId) {
@@ -114,7 +114,7 @@
 
     @ParameterizedTest
     @MethodSource("faults")
-    void givesWholeAnswersOnlyAndSendsOnce(String raw, ErrorKind expected) throws Exception {
+    void returnsOnlyCompleteAnswersAndSendsOnce(String raw, ErrorKind expected) throws Exception {
         start(request -> FakeBackendServer.thenClose(raw));
 
         BackendResult result = send("t1").result().get();
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void sendsTryWithItsIdAndTimeLeft() throws Exception {
+    void sendsAttemptWithItsIdAndRemainingTime() throws Exception {
         start(request -> request.answer(201, "whole", "Coppershelf-Server-State: Draining", "X-Kept: 1"));
 
         BackendResult result = send("t1").result().get();
@@ -144,7 +144,7 @@
 
     @ParameterizedTest
     @CsvSource({"503, SERVER_REFUSED", "504, DEADLINE_BEFORE_RUN"})
-    void takesServersRefusalAsProof(int status, ErrorKind expected) throws Exception {
+    void treatsRefusalByServerAsProofThatRequestWasNotRun(int status, ErrorKind expected) throws Exception {
         start(request ->
                 request.answer(status, "", "Coppershelf-Execution: not-started", "Coppershelf-Server-State: shedding"));
 
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void keepsCrossedAnswersFromBothTries() throws Exception {
+    void rejectsCrossedAnswersOfBothAttempts() throws Exception {
         start(request -> {
             String other = request.attemptId().equals("t1") ? "t2" : "t1";
             return request.rawAnswer(200, other, "Content-Length: 2", "Coppershelf-Try-Id: " + other);
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void neverUsesConnectionOfForeignAnswerAgain() throws Exception {
+    void neverReusesConnectionAfterForeignAnswer() throws Exception {
         start(request -> request.attemptId().equals("t1")
                 ? request.rawAnswer(200, "", "Content-Length: 0", "Coppershelf-Try-Id: t0")
                 : request.answer(200, "own"));
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void usesConnectionOfWholeAnswerAgain() throws Exception {
+    void reusesConnectionAfterCompleteAnswer() throws Exception {
         start(request -> request.answer(200, "own"));
         for (int i = 0; i < 20; i++) {
             assertThat(send("t" + i).result().get().answer()).isPresent();
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void provesThatNothingWasSentIfServerRefusesConnection() throws Exception {
+    void reportsNoServerIfConnectionIsRefused() throws Exception {
         start(request -> new byte[0]);
         BackendRequest request = request("t1", LIMIT);
         BackendRequest toClosedPort = new BackendRequest(
@@ -198,7 +198,7 @@
                 request.headers(),
                 request.body(),
                 request.deadlineNanos(),
-                LARGEST_ANSWER);
+                MAX_ANSWER_BYTES);
 
         assertThat(client.send(toClosedPort).result().get().error()).hasValue(ErrorKind.NO_SERVER);
     }
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void sendsNoMoreTriesThanServerHasSlots() throws Exception {
+    void sendsNoMoreAttemptsThanServerHasSlots() throws Exception {
         start(request -> stall());
         Exchange first = send("t1");
         Exchange second = send("t2");
@@ -236,10 +236,15 @@
         "finished, t1, DEADLINE_PASSED",
         "not-started, t0, DEADLINE_PASSED",
     })
-    void trustsOnlyServersOwnWordOnCancellation(String word, String id, ErrorKind expected) throws Exception {
+    void treatsCancellationAsNotRunOnlyIfServerConfirmsIt(String execution, String answeredId, ErrorKind expected)
+            throws Exception {
         start(request -> request.target().equals("/coppershelf/cancel/t1")
                 ? request.rawAnswer(
-                        200, "", "Content-Length: 0", "Coppershelf-Try-Id: " + id, "Coppershelf-Execution: " + word)
+                        200,
+                        "",
+                        "Content-Length: 0",
+                        "Coppershelf-Try-Id: " + answeredId,
+                        "Coppershelf-Execution: " + execution)
                 : answerAfterStall(request));
         Exchange exchange = send("t1");
         Received sent = server.awaitRequest();
@@ -257,7 +262,7 @@
     }
 
     @Test
-    void givesAnswerThatComesWhileServerIsAskedToCancel() throws Exception {
+    void returnsAnswerThatArrivesDuringCancellation() throws Exception {
         CountDownLatch cancelled = new CountDownLatch(1);
         start(request -> {
             if (request.target().startsWith("/coppershelf/cancel/")) {
@@ -285,7 +290,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void probesState(ServerState state) throws Exception {
+    void probeReturnsStateOfServer(ServerState state) throws Exception {
         start(request -> request.answer(200, "", "Coppershelf-Server-State: " + state));
 
         assertThat(client.probe(FakeComponents.server(server.port(), 2), LIMIT).get())
@@ -294,7 +299,7 @@
     }
 
     @Test
-    void failsProbeOfSilentServer() throws Exception {
+    void probeOfUnresponsiveServerTimesOut() throws Exception {
         start(request -> stall());
         try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             ServerSpec spec = FakeComponents.server(silent.getLocalPort(), 2);
