--- a/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
@@ -3,9 +3,9 @@
 import io.coppershelf.component.ComponentKey;
 
 /**
- * A hybrid logical clock: its stamps order events over all processes as cause before effect, and stay close to wall
- * time. A stamp has the wall time in milliseconds in its upper 48 bits and a counter in its lower 16. Safe for use by
- * several threads.
+ * A hybrid logical clock: its stamps order causes before effects across all processes, and stay close to wall time. A
+ * stamp has the wall time in milliseconds in its upper 48 bits and a counter in its lower 16. Safe for use by several
+ * threads.
  *
  * @see <a href="https://cse.buffalo.edu/tech-reports/2014-04.pdf">Kulkarni et al., Logical Physical Clocks and
  *     Consistent Snapshots in Globally Distributed Databases, 2014</a>
@@ -19,7 +19,10 @@
     /** Returns the stamp of an event now; each stamp is greater than all returned or observed before. */
     long stamp();
 
-    /** Takes in the stamp of a message from another process; one that is too far ahead is ignored. */
+    /**
+     * Observes the stamp of a message from another process, so that later stamps are greater; a stamp that is too far
+     * ahead is ignored.
+     */
     void observe(long stamp);
 
     /** Returns the wall time of a stamp in milliseconds since 1970. */
--- a/coppershelf/src/main/java/io/coppershelf/operator/Logging.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/Logging.java
@@ -7,18 +7,18 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** Sets up the logs of a process: one line a record, in UTC, to one stream. */
+/** Sets up logging of a process: one line per record, with UTC times, to one stream. */
 public final class Logging {
     private static final String MANAGER_PROPERTY = "java.util.logging.manager";
 
     private Logging() {}
 
-    /** Chooses the log manager of the process; to be called before anything is logged. */
+    /** Installs the log manager of the process; must be called before anything is logged. */
     public static void prepare() {
         System.setProperty(MANAGER_PROPERTY, ShutdownSafeLogManager.class.getName());
     }
 
-    /** Sends all records of level {@code INFO} and above to the stream until the process ends. */
+    /** Writes all records of level {@code INFO} and above to the stream until the process ends. */
     public static void configure(OutputStream out) {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorComponent.java
@@ -21,14 +21,14 @@
 import java.util.Optional;
 
 /**
- * The part that operators talk to. Needs {@link Settings} in the registry before {@link #register}; it should be the
- * first part to start and the last to stop.
+ * The component that serves operators. Requires {@link Settings} in the registry before {@link #register}; it should be
+ * the first component to start and the last to stop.
  */
 public final class OperatorComponent implements Component {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int TIMELINE_CAPACITY = 4096;
 
-    private final DefaultOperatorRegistry desk = new DefaultOperatorRegistry();
+    private final DefaultOperatorRegistry operatorRegistry = new DefaultOperatorRegistry();
     private Optional<OperatorServer> server = Optional.empty();
     private Optional<StatusPages> pages = Optional.empty();
 
@@ -43,10 +43,10 @@
         HybridClock clock =
                 new HybridLogicalClock(registry.find(TimeSource.NAME).orElseGet(TimeSource::system));
         TimelineBuffer timeline = new TimelineBuffer(clock, settings.vm(), TIMELINE_CAPACITY);
-        registry.register(OperatorRegistry.NAME, desk);
+        registry.register(OperatorRegistry.NAME, operatorRegistry);
         registry.register(HybridClock.NAME, clock);
         registry.register(Timeline.NAME, timeline);
-        pages = Optional.of(new StatusPages(settings.vm(), settings.dataCentre(), desk));
+        pages = Optional.of(new StatusPages(settings.vm(), settings.dataCentre(), operatorRegistry));
         server = Optional.of(open(settings, pages.get(), timeline, clock));
     }
 
@@ -56,10 +56,10 @@
         Optional<FleetView.Source> fleet = registry.find(FleetView.Source.NAME);
         if (configurations.isPresent() && fleet.isPresent()) {
             FleetStatus status = new FleetStatus(configurations.get(), fleet.get());
-            pages.ifPresent(shown -> shown.setFleet(status));
+            pages.ifPresent(statusPages -> statusPages.setFleet(status));
         }
         server.ifPresent(OperatorServer::start);
-        logger.atInfo().log("[operator] Answers on port %d.", port());
+        logger.atInfo().log("[operator] Listening on port %d.", port());
         registry.require(Timeline.NAME).record(Timeline.Event.of(name(), "Daemon starts."));
     }
 
@@ -69,15 +69,16 @@
         logger.atInfo().log("[operator] Stopped.");
     }
 
-    /** Returns the port on which operators are answered, 0 before {@link #register}. */
+    /** Returns the port for operators, 0 before {@link #register}. */
     public int port() {
         return server.map(OperatorServer::port).orElse(0);
     }
 
-    private OperatorServer open(Settings settings, StatusPages shown, TimelineBuffer timeline, HybridClock clock) {
+    private OperatorServer open(
+            Settings settings, StatusPages statusPages, TimelineBuffer timeline, HybridClock clock) {
         InetSocketAddress address = new InetSocketAddress(settings.host(), settings.operatorPort());
         try {
-            return new OperatorServer(address, settings.vm(), shown, desk, timeline, clock);
+            return new OperatorServer(address, settings.vm(), statusPages, operatorRegistry, timeline, clock);
         } catch (IOException e) {
             throw CoppershelfException.causedBy(
                     ErrorKind.INVALID_SETTINGS, "operator port " + address + " can't be bound: " + e.getMessage(), e);
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorRegistry.java
@@ -4,11 +4,14 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.BooleanSupplier;
 
-/** Where parts register what operators see of them. Safe for use by several threads. */
+/**
+ * Registry of what components show to operators: status, readiness conditions and metrics. Safe for use by several
+ * threads.
+ */
 public interface OperatorRegistry {
     ComponentKey<OperatorRegistry> NAME = ComponentKey.named("operator", OperatorRegistry.class);
 
-    /** Registers a part's contribution to {@code GET /status}. */
+    /** Registers a component's contribution to {@code GET /status}. */
     void addStatus(StatusContributor source);
 
     /** Registers a condition that must hold for {@code GET /ready} to answer 200. */
--- a/coppershelf/src/main/java/io/coppershelf/operator/StampedEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/StampedEvent.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 
 /**
- * An event of the time line with its time and place.
+ * An event of the timeline with its time and VM.
  *
  * @param stamp the stamp of the {@link HybridClock}
  * @param vm the VM on which it happened
--- a/coppershelf/src/main/java/io/coppershelf/operator/StatusContributor.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/StatusContributor.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** A part that has something to show in the status of its VM. */
+/** Contributes to the status document of a VM. */
 public interface StatusContributor {
-    /** Adds what the part shows to the JSON document of the VM; called on an operator thread. */
+    /** Adds the component's status to the JSON document of the VM; called on an operator thread. */
     void describe(ObjectNode status);
 }
--- a/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
@@ -3,7 +3,7 @@
 import io.coppershelf.component.ComponentKey;
 import java.util.Optional;
 
-/** Takes the events of this process for the time line over all processes. Safe for use by several threads. */
+/** Records the events of this process for the timeline of the fleet. Safe for use by several threads. */
 public interface Timeline {
     ComponentKey<Timeline> NAME = ComponentKey.named("timeline", Timeline.class);
 
@@ -11,9 +11,9 @@
     void record(Event event);
 
     /**
-     * An event, before it is given its time.
+     * An event without its time.
      *
-     * @param component the part of the daemon that tells it, such as {@code health}
+     * @param component the component that reports it, such as {@code health}
      * @param text a short sentence
      * @param service the service that it concerns
      * @param server the backend server that it concerns
@@ -32,22 +32,22 @@
             return new Event(component, text, Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
         }
 
-        /** Returns the event, told of a service. */
+        /** Returns a copy that concerns the given service. */
         public Event ofService(String name) {
             return new Event(component, text, Optional.of(name), server, request, ticket);
         }
 
-        /** Returns the event, told of a backend server. */
+        /** Returns a copy that concerns the given backend server. */
         public Event ofServer(String name) {
             return new Event(component, text, service, Optional.of(name), request, ticket);
         }
 
-        /** Returns the event, told of a request. */
+        /** Returns a copy that concerns the given request. */
         public Event ofRequest(String id) {
             return new Event(component, text, service, server, Optional.of(id), ticket);
         }
 
-        /** Returns the event, told of a ticket. */
+        /** Returns a copy that concerns the given ticket. */
         public Event ofTicket(long number) {
             return new Event(component, text, service, server, request, Optional.of(number));
         }
--- a/coppershelf/src/main/java/io/coppershelf/operator/TimelineDocument.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/TimelineDocument.java
@@ -10,15 +10,15 @@
 import java.util.Optional;
 
 /**
- * The JSON form of the time line of one process.
+ * The JSON form of the timeline of one process.
  *
  * @param vm the VM
- * @param stamp the stamp of the answer
- * @param overwritten the stamp of the latest event that was overwritten for want of room, 0 if none was
+ * @param stamp the stamp at which the document was created
+ * @param overwritten the stamp of the latest event that was overwritten because the buffer was full, 0 if none was
  * @param events the events in the order of their stamps
  */
 public record TimelineDocument(String vm, long stamp, long overwritten, List<StampedEvent> events) {
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     public TimelineDocument {
         events = List.copyOf(events);
@@ -80,7 +80,7 @@
      * @throws NumberFormatException if it is not a hexadecimal number of at most 16 digits
      */
     public static long parse(String stamp) {
-        return Long.parseUnsignedLong(stamp, HEXADECIMAL);
+        return Long.parseUnsignedLong(stamp, HEX_RADIX);
     }
 
     private static StampedEvent readEvent(JsonNode node) {
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/DefaultOperatorRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/DefaultOperatorRegistry.java
@@ -12,27 +12,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Keeps what the parts have registered for operators. */
+/** Stores what the components register for operators. */
 public final class DefaultOperatorRegistry implements OperatorRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    private final List<StatusContributor> sources = new CopyOnWriteArrayList<>();
-    private final Map<String, BooleanSupplier> conditions = new ConcurrentHashMap<>();
+    private final List<StatusContributor> contributors = new CopyOnWriteArrayList<>();
+    private final Map<String, BooleanSupplier> readinessConditions = new ConcurrentHashMap<>();
     private final PrometheusRegistry metrics = new PrometheusRegistry();
 
-    /** Creates a desk whose metrics tell of the process itself. */
+    /** Creates a registry with the metrics of the process. */
     public DefaultOperatorRegistry() {
         ProcessMetrics.register(metrics);
     }
 
     @Override
-    public void addStatus(StatusContributor source) {
-        sources.add(source);
+    public void addStatus(StatusContributor contributor) {
+        contributors.add(contributor);
     }
 
     @Override
     public void addReadiness(String name, BooleanSupplier condition) {
-        conditions.put(name, condition);
+        readinessConditions.put(name, condition);
     }
 
     @Override
@@ -40,21 +40,21 @@
         return metrics;
     }
 
-    /** Lets each part add to the document; a part that fails leaves the others in place. */
+    /** Lets each contributor add to the document; the failure of one does not affect the others. */
     void describe(ObjectNode status) {
-        for (StatusContributor source : sources) {
+        for (StatusContributor contributor : contributors) {
             try {
-                source.describe(status);
+                contributor.describe(status);
             } catch (RuntimeException e) {
                 logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).withCause(e).log(
-                        "[operator] A part has no status.");
+                        "[operator] A component failed to report its status.");
             }
         }
     }
 
-    /** Returns the names of the conditions that do not hold, in order. */
+    /** Returns the names of the readiness conditions that do not hold, sorted. */
     List<String> unmetConditions() {
-        return conditions.entrySet().stream()
+        return readinessConditions.entrySet().stream()
                 .filter(entry -> !entry.getValue().getAsBoolean())
                 .map(Map.Entry::getKey)
                 .sorted()
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/FleetStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/FleetStatus.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Shows the ticket in force, the configured services with the owners of their server groups, and the live VMs. */
+/** Describes the ticket in force, the configured services with the owners of their server groups, and the live VMs. */
 public final class FleetStatus {
     private final Configuration.Source configurations;
     private final FleetView.Source fleet;
@@ -42,7 +42,7 @@
         services.forEach(service -> describe(service, configuration, view, list.addObject()));
     }
 
-    /** Adds what is wrong with the configuration in force. */
+    /** Adds the problems of the configuration in force. */
     void describeAlarms(ObjectNode document) {
         ArrayNode list = document.putArray("alarms");
         ConfigurationReview.of(configurations.current()).forEach(problem -> list.add(problem.toString()));
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/HybridLogicalClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/HybridLogicalClock.java
@@ -7,8 +7,8 @@
 
 /** A hybrid logical clock over the wall clock of this machine. */
 public final class HybridLogicalClock implements HybridClock {
-    /** How far ahead of the wall clock an observed stamp may be. */
-    public static final Duration FURTHEST_AHEAD = Duration.ofMinutes(1);
+    /** The maximum lead of an observed stamp over the wall clock. */
+    public static final Duration MAX_AHEAD = Duration.ofMinutes(1);
 
     private final TimeSource time;
     private final AtomicLong last = new AtomicLong();
@@ -26,7 +26,7 @@
 
     @Override
     public void observe(long stamp) {
-        if (HybridClock.millis(stamp) > time.wallMillis() + FURTHEST_AHEAD.toMillis()) {
+        if (HybridClock.millis(stamp) > time.wallMillis() + MAX_AHEAD.toMillis()) {
             return;
         }
         last.accumulateAndGet(stamp, Math::max);
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/LineFormatter.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/LineFormatter.java
@@ -6,7 +6,7 @@
 import java.util.logging.LogRecord;
 
 /**
- * Formats a log record as one line: UTC time, level, message, and the chain of causes in short.
+ * Formats a log record as one line: UTC time, level, message, and an abbreviated chain of causes.
  *
  * <pre>{@code
  * 2026-12-03T22:14:05.120Z INFO [peer] Connected to herning-2.
@@ -15,7 +15,7 @@
 final class LineFormatter extends Formatter {
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("uuuu-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
-    private static final int MOST_CAUSES = 5;
+    private static final int MAX_CAUSES = 5;
 
     @Override
     public String format(LogRecord record) {
@@ -24,7 +24,7 @@
         line.append(record.getLevel().getName()).append(' ');
         line.append(formatMessage(record));
         Throwable cause = record.getThrown();
-        for (int i = 0; cause != null && i < MOST_CAUSES; i++) {
+        for (int i = 0; cause != null && i < MAX_CAUSES; i++) {
             line.append(" Cause: ").append(describe(cause));
             cause = cause.getCause();
         }
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/LineHandler.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/LineHandler.java
@@ -27,7 +27,7 @@
             out.write(formatter.format(record).getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            reportError("log line lost", e, java.util.logging.ErrorManager.WRITE_FAILURE);
+            reportError("a log line could not be written", e, java.util.logging.ErrorManager.WRITE_FAILURE);
         }
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/OperatorServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/OperatorServer.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Answers operators over HTTP; every address is read-only. */
+/** The HTTP server for operators; all its endpoints are read-only. */
 public final class OperatorServer {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int THREADS = 4;
-    private static final int LARGEST_TIMELINE_ANSWER = 5000;
+    private static final int MAX_TIMELINE_EVENTS = 5000;
     private static final String NO_SUCH_ADDRESS =
             "no such address; see /health, /ready, /status, /ticket, /fleet, /metrics, /timeline\n";
     private static final String JSON = "application/json";
@@ -32,7 +32,7 @@
 
     private final String vm;
     private final StatusPages pages;
-    private final DefaultOperatorRegistry desk;
+    private final DefaultOperatorRegistry registry;
     private final TimelineBuffer timeline;
     private final HybridClock clock;
     private final PrometheusTextFormatWriter metricsWriter = PrometheusTextFormatWriter.create();
@@ -45,7 +45,7 @@
     private final HttpServer server;
 
     /**
-     * Opens the port; {@link #start} begins to answer.
+     * Binds the port; {@link #start} begins to serve requests.
      *
      * @throws IOException if the address can't be bound
      */
@@ -53,20 +53,20 @@
             InetSocketAddress address,
             String vm,
             StatusPages pages,
-            DefaultOperatorRegistry desk,
+            DefaultOperatorRegistry registry,
             TimelineBuffer timeline,
             HybridClock clock)
             throws IOException {
         this.vm = vm;
         this.pages = pages;
-        this.desk = desk;
+        this.registry = registry;
         this.timeline = timeline;
         this.clock = clock;
         System.setProperty("sun.net.httpserver.nodelay", "true");
         this.server = HttpServer.create(address, 0);
     }
 
-    /** Begins to answer. */
+    /** Begins to serve requests. */
     public void start() {
         server.createContext("/", this::handle);
         server.setExecutor(executor);
@@ -113,7 +113,7 @@
     }
 
     private Answer ready() {
-        List<String> unmet = desk.unmetConditions();
+        List<String> unmet = registry.unmetConditions();
         return unmet.isEmpty()
                 ? Answer.text(200, "ready\n")
                 : Answer.text(503, "not ready: " + String.join(", ", unmet) + "\n");
@@ -121,7 +121,7 @@
 
     private Answer metrics() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        metricsWriter.write(out, desk.metrics().scrape(), EscapingScheme.UNDERSCORE_ESCAPING);
+        metricsWriter.write(out, registry.metrics().scrape(), EscapingScheme.UNDERSCORE_ESCAPING);
         return new Answer(200, metricsWriter.getContentType(), out.toByteArray());
     }
 
@@ -133,7 +133,7 @@
             return Answer.text(400, "after must be a stamp of at most 16 hexadecimal digits\n");
         }
         TimelineDocument document = new TimelineDocument(
-                vm, clock.stamp(), timeline.overwritten(), timeline.after(after, LARGEST_TIMELINE_ANSWER));
+                vm, clock.stamp(), timeline.overwritten(), timeline.after(after, MAX_TIMELINE_EVENTS));
         return Answer.json(200, document.toJson());
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/ShutdownSafeLogManager.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/ShutdownSafeLogManager.java
@@ -3,20 +3,20 @@
 import java.util.logging.LogManager;
 
 /**
- * A log manager whose handlers stay in place during the shutdown of the process. The manager of the JDK removes them in
- * a shutdown hook of its own, and the log lines of a planned stop would be lost.
+ * A log manager that keeps its handlers during the shutdown of the process. The JDK's log manager removes them in its
+ * own shutdown hook, which would lose the log lines of a planned stop.
  */
 public final class ShutdownSafeLogManager extends LogManager {
-    private static volatile boolean isLasting;
+    private static volatile boolean isKeepingHandlers;
 
     /** Makes later calls of {@link #reset} do nothing. */
     public static void keepHandlers() {
-        isLasting = true;
+        isKeepingHandlers = true;
     }
 
     @Override
     public void reset() {
-        if (!isLasting) {
+        if (!isKeepingHandlers) {
             super.reset();
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/StatusPages.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/StatusPages.java
@@ -7,11 +7,11 @@
 import java.util.Iterator;
 import java.util.Optional;
 
-/** Puts together the JSON documents that tell of this VM and its fleet. */
+/** Builds the JSON documents that describe this VM and its fleet. */
 public final class StatusPages {
     private final String vm;
     private final String dataCentre;
-    private final DefaultOperatorRegistry desk;
+    private final DefaultOperatorRegistry registry;
     private volatile Optional<FleetStatus> fleet = Optional.empty();
 
     /**
@@ -19,20 +19,20 @@
      *
      * @param vm its id
      * @param dataCentre its data centre
-     * @param desk what the parts have registered
+     * @param registry what the components have registered
      */
-    public StatusPages(String vm, String dataCentre, DefaultOperatorRegistry desk) {
+    public StatusPages(String vm, String dataCentre, DefaultOperatorRegistry registry) {
         this.vm = vm;
         this.dataCentre = dataCentre;
-        this.desk = desk;
+        this.registry = registry;
     }
 
-    /** Adds what is known of the fleet. */
+    /** Sets the source of the fleet's status; before that, the pages describe this VM only. */
     public void setFleet(FleetStatus status) {
         fleet = Optional.of(status);
     }
 
-    /** Returns everything, or only what concerns one service. */
+    /** Returns the complete status, or only the services and server groups of one service. */
     ObjectNode status(Optional<String> service) {
         ObjectNode document = head();
         fleet.ifPresent(status -> {
@@ -41,7 +41,7 @@
             status.describeServices(document, service);
             status.describeFleet(document);
         });
-        desk.describe(document);
+        registry.describe(document);
         service.ifPresent(name -> keepService(document.path("groups"), name));
         return document;
     }
@@ -66,7 +66,7 @@
                 .put("vm", vm)
                 .put("dataCentre", dataCentre)
                 .put("time", Instant.now().toString())
-                .put("ready", desk.unmetConditions().isEmpty());
+                .put("ready", registry.unmetConditions().isEmpty());
     }
 
     private static void keepService(JsonNode groups, String service) {
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/TimelineBuffer.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/TimelineBuffer.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The latest events of this process, in a ring of fixed size. Safe for use by several threads. */
+/** The latest events of this process, in a ring buffer of fixed size. Safe for use by several threads. */
 public final class TimelineBuffer implements Timeline {
-    private static final int LONGEST_TEXT = 300;
+    private static final int MAX_TEXT_LENGTH = 300;
 
     private final HybridClock clock;
     private final String vm;
@@ -19,7 +19,7 @@
     /**
      * Creates an empty buffer.
      *
-     * @param clock gives the stamps
+     * @param clock stamps the events
      * @param vm the id of this VM
      * @param capacity the number of events that are kept
      */
@@ -31,11 +31,11 @@
 
     @Override
     public synchronized void record(Event event) {
-        int slot = slot(recorded);
-        if (ring[slot] != null) {
-            overwritten = ring[slot].stamp();
+        int position = position(recorded);
+        if (ring[position] != null) {
+            overwritten = ring[position].stamp();
         }
-        ring[slot] = new StampedEvent(clock.stamp(), vm, shortened(event));
+        ring[position] = new StampedEvent(clock.stamp(), vm, shortened(event));
         recorded++;
     }
 
@@ -44,7 +44,7 @@
         List<StampedEvent> events = new ArrayList<>();
         long oldest = Math.max(0, recorded - ring.length);
         for (long i = oldest; i < recorded && events.size() < limit; i++) {
-            StampedEvent event = ring[slot(i)];
+            StampedEvent event = ring[position(i)];
             if (event.stamp() > stamp) {
                 events.add(event);
             }
@@ -57,15 +57,15 @@
         return overwritten;
     }
 
-    private int slot(long index) {
+    private int position(long index) {
         return (int) (index % ring.length);
     }
 
     private static Event shortened(Event event) {
-        if (event.text().length() <= LONGEST_TEXT) {
+        if (event.text().length() <= MAX_TEXT_LENGTH) {
             return event;
         }
-        String text = event.text().substring(0, LONGEST_TEXT);
+        String text = event.text().substring(0, MAX_TEXT_LENGTH);
         return new Event(event.component(), text, event.service(), event.server(), event.request(), event.ticket());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' HTTP server, the time line of this process, its clock and the form of log lines. */
+/** The operators' HTTP server, the timeline of this process, its clock and the format of log lines. */
 package io.coppershelf.operator.internal;
--- a/coppershelf/src/main/java/io/coppershelf/operator/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/package-info.java
@@ -1,2 +1,2 @@
-/** What operators see: status, metrics, health and readiness, and the time line of events. */
+/** What operators see: status, metrics, health and readiness, and the timeline of events. */
 package io.coppershelf.operator;
--- a/coppershelf/src/test/java/io/coppershelf/operator/OperatorComponentTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/operator/OperatorComponentTest.java
@@ -39,26 +39,26 @@
 
     private final HttpClient client = HttpClient.newHttpClient();
     private final ComponentRegistry registry = new ComponentRegistry();
-    private final OperatorComponent part = new OperatorComponent();
+    private final OperatorComponent component = new OperatorComponent();
 
     @BeforeEach
-    void startPart() {
+    void startComponent() {
         registry.register(Settings.NAME, settings(0));
-        part.register(registry);
+        component.register(registry);
         ConfigurationStore store = new ConfigurationStore();
         store.apply(TicketDocument.parse(TICKET));
         registry.register(Configuration.Source.NAME, new FixedConfiguration(store.snapshot()));
         registry.register(FleetView.Source.NAME, new FixedFleet());
-        part.start(registry);
+        component.start(registry);
     }
 
     @AfterEach
-    void stopPart() {
-        part.stop(Duration.ofSeconds(1));
+    void stopComponent() {
+        component.stop(Duration.ofSeconds(1));
     }
 
     @Test
-    void showsTicketServicesOwnersFleetAndWhatPartsAdd() throws Exception {
+    void showsTicketServicesOwnersFleetAndStatusOfComponents() throws Exception {
         registry.require(OperatorRegistry.NAME).addStatus(status -> status.put("extra", 1));
         registry.require(OperatorRegistry.NAME).addStatus(status -> {
             throw new IllegalStateException("broken part");
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void showsOneServiceOnRequest() throws Exception {
+    void showsOnlyTheRequestedService() throws Exception {
         registry.require(OperatorRegistry.NAME).addStatus(status -> {
             status.putArray("groups").addObject().put("service", "rotavis");
             status.withArray("groups").addObject().put("service", "vagtbank");
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void givesEventsAfterAStamp() throws Exception {
+    void returnsEventsAfterAStamp() throws Exception {
         Timeline timeline = registry.require(Timeline.NAME);
         timeline.record(Timeline.Event.of("ticket", "Ticket 4 in force.").ofTicket(4));
         TimelineDocument all = timeline("/timeline");
@@ -126,7 +126,7 @@
         "GET,  /nothing,           404, no such address",
         "POST, /status,            405, only GET"
     })
-    void answersEachAddress(String method, String path, int status, String text) throws Exception {
+    void answersEachEndpoint(String method, String path, int status, String text) throws Exception {
         HttpResponse<String> answer = send(method, path);
 
         assertThat(answer.statusCode()).isEqualTo(status);
@@ -134,15 +134,15 @@
     }
 
     @Test
-    void saysWhichPortCannotBeBound() {
+    void namesThePortThatCannotBeBound() {
         ComponentRegistry other = new ComponentRegistry();
-        other.register(Settings.NAME, settings(part.port()));
+        other.register(Settings.NAME, settings(component.port()));
 
         CoppershelfException failure =
                 assertThrows(CoppershelfException.class, () -> new OperatorComponent().register(other));
 
         assertThat(failure.kind()).isEqualTo(ErrorKind.INVALID_SETTINGS);
-        assertThat(failure).hasMessageThat().contains(":" + part.port());
+        assertThat(failure).hasMessageThat().contains(":" + component.port());
     }
 
     private TimelineDocument timeline(String path) throws Exception {
@@ -155,7 +155,7 @@
     }
 
     private HttpResponse<String> send(String method, String path) throws IOException, InterruptedException {
-        URI address = URI.create("http://127.0.0.1:" + part.port() + path);
+        URI address = URI.create("http://127.0.0.1:" + component.port() + path);
         HttpRequest request = HttpRequest.newBuilder(address)
                 .method(method, BodyPublishers.noBody())
                 .build();
--- a/coppershelf/src/test/java/io/coppershelf/operator/internal/TimelineBufferTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/operator/internal/TimelineBufferTest.java
@@ -15,7 +15,7 @@
             new TimelineBuffer(new HybridLogicalClock(TimeSource.system()), "herning-1", 3);
 
     @Test
-    void keepsTheLatestEventsInOrderAndTellsWhatWasOverwritten() {
+    void keepsTheLatestEventsInOrderAndReportsTheLastOverwrittenOne() {
         IntStream.rangeClosed(1, 5).forEach(i -> buffer.record(Event.of("peer", "event " + i)));
 
         List<StampedEvent> events = buffer.after(0, 10);
