--- a/coppershelf/src/main/java/io/coppershelf/document/DocumentSchema.java
+++ b/coppershelf/src/main/java/io/coppershelf/document/DocumentSchema.java
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Loads a schema that is kept beside a class.
+     * Loads a schema from the resources next to a class.
      *
      * @param owner the class
      * @param name the name of the resource
@@ -37,7 +37,7 @@
                 .build();
         try (InputStream text = owner.getResourceAsStream(name)) {
             if (text == null) {
-                throw new IllegalStateException("no schema \"" + name + "\" beside " + owner.getName());
+                throw new IllegalStateException("no schema \"" + name + "\" in the resources of " + owner.getName());
             }
             JsonSchemaFactory factory = JsonSchemaFactory.getInstance(VersionFlag.V202012);
             return new DocumentSchema(factory.getSchema(text, config));
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Returns everything in which the document departs from the schema, in the order of the document. */
+    /** Returns all violations of the schema, in the order of the document. */
     public List<Problem> check(JsonNode document) {
         return schema.validate(document).stream().map(DocumentSchema::problem).toList();
     }
@@ -58,16 +58,16 @@
                     case "required" -> "key \"" + message.getProperty() + "\" is missing";
                     case "additionalProperties" -> "key \"" + message.getProperty() + "\" is unknown";
                     case "type" -> "must be " + message.getArguments()[1] + ", but is " + message.getArguments()[0];
-                    case "minimum" -> "must be at least " + message.getArguments()[0] + found(message);
-                    case "maximum" -> "must be at most " + message.getArguments()[0] + found(message);
-                    case "enum" -> "must be one of " + message.getArguments()[0] + found(message);
-                    case "pattern", "propertyNames" -> message.getError() + found(message);
-                    default -> message.getError() + found(message);
+                    case "minimum" -> "must be at least " + message.getArguments()[0] + actualValue(message);
+                    case "maximum" -> "must be at most " + message.getArguments()[0] + actualValue(message);
+                    case "enum" -> "must be one of " + message.getArguments()[0] + actualValue(message);
+                    case "pattern", "propertyNames" -> message.getError() + actualValue(message);
+                    default -> message.getError() + actualValue(message);
                 };
         return new Problem(path, text);
     }
 
-    private static String found(ValidationMessage message) {
+    private static String actualValue(ValidationMessage message) {
         JsonNode node = message.getInstanceNode();
         return node != null && node.isValueNode() ? ", but is " + node : "";
     }
--- a/coppershelf/src/main/java/io/coppershelf/document/Problem.java
+++ b/coppershelf/src/main/java/io/coppershelf/document/Problem.java
@@ -1,9 +1,9 @@
 package io.coppershelf.document;
 
 /**
- * One thing that is wrong in a document.
+ * A problem in a document.
  *
- * @param path the JSON pointer of the place, empty for the whole document
+ * @param path the JSON pointer of the value concerned, empty for the whole document
  * @param message what was expected, and what was found
  * @see <a href="https://www.rfc-editor.org/rfc/rfc6901">RFC 6901, JavaScript Object Notation (JSON) Pointer</a>
  */
--- a/coppershelf/src/main/java/io/coppershelf/document/Problems.java
+++ b/coppershelf/src/main/java/io/coppershelf/document/Problems.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Collects the problems of one document, so that all of them can be told at once.
+ * Collects the problems of one document, so that all of them can be reported at once.
  *
  * <pre>{@code
  * Problems problems = new Problems();
@@ -29,7 +29,7 @@
         found.addAll(problems);
     }
 
-    /** Returns whether there is none. */
+    /** Returns whether no problem has been added. */
     public boolean isEmpty() {
         return found.isEmpty();
     }
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Ends the check if anything was found.
+     * Throws an exception that lists all problems, if there are any.
      *
-     * @param kind the code of the exception
+     * @param kind the error kind of the exception
      * @param title the first line of its message; each problem follows on a line of its own
      * @throws CoppershelfException of the given kind if there is at least one problem
      */
--- a/coppershelf/src/main/java/io/coppershelf/document/StrictJson.java
+++ b/coppershelf/src/main/java/io/coppershelf/document/StrictJson.java
@@ -10,14 +10,14 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.util.Optional;
 
-/** Reads JSON text; a key that stands twice in one object and text after the end are errors. */
+/** Reads JSON text strictly: duplicate keys within an object and text after the end of the document are errors. */
 public final class StrictJson {
-    private static final int DEEPEST_NESTING = 32;
+    private static final int MAX_NESTING_DEPTH = 32;
 
     private static final ObjectMapper MAPPER = JsonMapper.builder(JsonFactory.builder()
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     .streamReadConstraints(StreamReadConstraints.builder()
-                            .maxNestingDepth(DEEPEST_NESTING)
+                            .maxNestingDepth(MAX_NESTING_DEPTH)
                             .build())
                     .build())
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -29,7 +29,7 @@
      * Reads a document.
      *
      * @param text the JSON text
-     * @param problems takes what is wrong with the text
+     * @param problems collects the problems of the text
      * @return the document, empty if the text is not JSON
      */
     public static Optional<JsonNode> read(String text, Problems problems) {
--- a/coppershelf/src/main/java/io/coppershelf/platform/Platform.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/Platform.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's service, which can only be read and watched. Each call counts against its limit, a waiting watch as
- * one.
+ * The platform's API, which can only be read and watched. Each call counts against the platform's call limit; a waiting
+ * watch counts as one call.
  *
  * <p>The futures complete exceptionally with a {@link io.coppershelf.outcome.CoppershelfException} of the kinds
  * {@code PLATFORM_UNREACHABLE} or {@code PLATFORM_GARBLED}.
@@ -20,7 +20,7 @@
      * Reads the tickets whose position is above the given one, waiting for one if there is none.
      *
      * @param position the position reached so far, 0 for all
-     * @param wait how long the platform may hold the call; zero for a plain read
+     * @param wait how long the platform may wait for a change before it answers; zero for a plain read
      */
     CompletableFuture<PublishedTickets> tickets(long position, Duration wait);
 
@@ -28,10 +28,10 @@
     CompletableFuture<PublishedVms> vms(long revision, Duration wait);
 
     /**
-     * Published tickets as raw JSON documents, in the order of their publication; each is checked on its own.
+     * Published tickets as raw JSON documents, in the order of their publication; each is validated separately.
      *
      * @param position the position of the last one
-     * @param documents one JSON document a ticket
+     * @param documents one JSON document per ticket
      */
     record PublishedTickets(long position, List<String> documents) {}
 
--- a/coppershelf/src/main/java/io/coppershelf/platform/PlatformComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/PlatformComponent.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** The part that reads the platform. Needs {@link Settings} in the registry before {@link #register}. */
+/** The component that reads the platform. Requires {@link Settings} in the registry before {@link #register}. */
 public final class PlatformComponent implements Component {
     private Optional<HttpPlatform> platform = Optional.empty();
 
@@ -31,8 +31,8 @@
 
     @Override
     public void start(ComponentRegistry registry) {
-        OperatorRegistry desk = registry.require(OperatorRegistry.NAME);
-        platform.ifPresent(client -> desk.metrics().register(client.calls()));
+        OperatorRegistry operatorRegistry = registry.require(OperatorRegistry.NAME);
+        platform.ifPresent(client -> operatorRegistry.metrics().register(client.calls()));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/Backoff.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/Backoff.java
@@ -4,13 +4,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Delays after failures: doubled with each failure in a row up to a limit, and half of each drawn at random so that VMs
- * do not return together. Not safe for use by several threads.
+ * Exponential backoff with jitter: the delay doubles with each consecutive failure up to a limit, and half of it is
+ * random so that the VMs do not retry at the same time. Not safe for use by several threads.
  */
 final class Backoff {
-    private static final Duration FIRST = Duration.ofMillis(200);
-    private static final Duration LONGEST = Duration.ofSeconds(5);
-    private static final int MOST_DOUBLINGS = 10;
+    private static final Duration INITIAL_DELAY = Duration.ofMillis(200);
+    private static final Duration MAX_DELAY = Duration.ofSeconds(5);
+    private static final int MAX_DOUBLINGS = 10;
 
     private final RandomGenerator random;
     private int failures;
@@ -20,15 +20,15 @@
         this.random = random;
     }
 
-    /** Takes in a success. */
+    /** Records a success. */
     void succeeded() {
         failures = 0;
     }
 
-    /** Takes in a failure at the given monotonic time. */
+    /** Records a failure at the given monotonic time. */
     void failed(long nowNanos) {
-        long doubled = FIRST.toNanos() << Math.min(failures, MOST_DOUBLINGS);
-        long delay = Math.min(doubled, LONGEST.toNanos());
+        long doubled = INITIAL_DELAY.toNanos() << Math.min(failures, MAX_DOUBLINGS);
+        long delay = Math.min(doubled, MAX_DELAY.toNanos());
         retryNanos = nowNanos + delay / 2 + random.nextLong(delay / 2 + 1);
         failures++;
     }
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/HttpPlatform.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/HttpPlatform.java
@@ -22,18 +22,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Reads the platform over HTTP/1.1. After a failure, calls are held back for a growing time; a caller may therefore
- * simply call again.
+ * Reads the platform over HTTP/1.1. After a failure, calls are delayed with exponential backoff, so a caller may retry
+ * at once.
  */
 public final class HttpPlatform implements Platform, AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int LARGEST_ANSWER_BYTES = 2 * 1_048_576;
+    private static final int MAX_ANSWER_BYTES = 2 * 1_048_576;
     private static final int OK = 200;
-    private static final int SERVER_ERRORS = 500;
+    private static final int FIRST_SERVER_ERROR = 500;
     private static final int THREADS = 2;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(3);
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(60);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(60);
 
     private final URI address;
     private final TimeSource time;
@@ -59,7 +59,7 @@
      * Creates a client; nothing is sent yet.
      *
      * @param address the platform's address
-     * @param time the time for backoff
+     * @param time the clock for backoff
      * @param random the source of jitter
      */
     public HttpPlatform(URI address, TimeSource time, RandomGenerator random) {
@@ -93,7 +93,7 @@
             return CompletableFuture.failedFuture(
                     CoppershelfException.of(ErrorKind.PLATFORM_UNREACHABLE, "platform client is closed"));
         }
-        Duration bounded = wait.compareTo(LONGEST_WAIT) > 0 ? LONGEST_WAIT : wait;
+        Duration bounded = wait.compareTo(MAX_WAIT) > 0 ? MAX_WAIT : wait;
         HttpRequest request = HttpRequest.newBuilder(
                         address.resolve("/" + name + "?after=" + after + "&wait=" + bounded.toMillis()))
                 .build();
@@ -101,7 +101,7 @@
                 .thenCompose(ignored -> send(request, bounded.plus(ANSWER_TIMEOUT)))
                 .thenApply(HttpPlatform::body)
                 .thenApply(reader)
-                .handle((answer, failure) -> conclude(name, answer, failure));
+                .handle((answer, failure) -> recordResult(name, answer, failure));
     }
 
     private Executor delayed() {
@@ -113,14 +113,14 @@
 
     private CompletableFuture<HttpResponse<byte[]>> send(HttpRequest request, Duration timeout) {
         CompletableFuture<HttpResponse<byte[]>> exchange =
-                client.sendAsync(request, head -> new LimitedBody(LARGEST_ANSWER_BYTES));
+                client.sendAsync(request, head -> new LimitedBody(MAX_ANSWER_BYTES));
         return exchange.copy()
                 .orTimeout(timeout.toMillis(), TimeUnit.MILLISECONDS)
                 .whenComplete((answer, failure) -> exchange.cancel(true));
     }
 
     private static byte[] body(HttpResponse<byte[]> answer) {
-        if (answer.statusCode() >= SERVER_ERRORS) {
+        if (answer.statusCode() >= FIRST_SERVER_ERROR) {
             throw CoppershelfException.of(
                     ErrorKind.PLATFORM_UNREACHABLE, "platform answered with status " + answer.statusCode());
         }
@@ -131,7 +131,7 @@
         return answer.body();
     }
 
-    private <T> T conclude(String name, T answer, Throwable failure) {
+    private <T> T recordResult(String name, T answer, Throwable failure) {
         if (failure == null) {
             calls.labelValues(name, "answered").inc();
             recordSuccess();
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/LimitedBody.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/LimitedBody.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow.Subscription;
 
-/** Collects the body of an answer, and fails as soon as it is larger than a limit. */
+/** Collects the body of an answer and fails as soon as it exceeds a size limit. */
 final class LimitedBody implements BodySubscriber<byte[]> {
     private final int limit;
     private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/PlatformAnswers.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/PlatformAnswers.java
@@ -18,10 +18,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the platform's answers; anything else than the agreed form is {@link ErrorKind#PLATFORM_GARBLED}. */
+/**
+ * Parses the platform's answers; an answer that is not in the agreed format fails with
+ * {@link ErrorKind#PLATFORM_GARBLED}.
+ */
 final class PlatformAnswers {
-    private static final int HIGHEST_PORT = 65_535;
-    private static final String NAME = "[a-z0-9][a-z0-9-]{0,62}";
+    private static final int MAX_PORT = 65_535;
+    private static final String NAME_PATTERN = "[a-z0-9][a-z0-9-]{0,62}";
 
     private PlatformAnswers() {}
 
@@ -97,13 +100,13 @@
 
     private static int port(JsonNode node, String key) {
         long port = number(node, key);
-        check(port >= 1 && port <= HIGHEST_PORT, "\"" + key + "\" is not a port");
+        check(port >= 1 && port <= MAX_PORT, "\"" + key + "\" is not a port");
         return (int) port;
     }
 
     private static String name(JsonNode node, String key) {
         String name = text(node, key);
-        check(name.matches(NAME), "\"" + key + "\" is not a name");
+        check(name.matches(NAME_PATTERN), "\"" + key + "\" is not a name");
         return name;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Reading the platform over HTTP: bounded answers, strict reading, backoff after failures. */
+/** Reads the platform over HTTP, with answers of limited size, strict parsing, and backoff after failures. */
 package io.coppershelf.platform.internal;
--- a/coppershelf/src/main/java/io/coppershelf/platform/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/package-info.java
@@ -1,2 +1,4 @@
-/** Reads and watches what the platform publishes: change tickets and the list of VMs. Nothing is ever written. */
+/**
+ * Reads and watches what the platform publishes: change tickets and the list of VMs. It never writes to the platform.
+ */
 package io.coppershelf.platform;
--- a/coppershelf/src/main/java/io/coppershelf/settings/Settings.java
+++ b/coppershelf/src/main/java/io/coppershelf/settings/Settings.java
@@ -8,16 +8,16 @@
  * The settings of a daemon.
  *
  * @param vm the id of this VM
- * @param dataCentre the data centre in which it stands
- * @param host the IP number on which it listens and under which peers know it
+ * @param dataCentre the data centre of this VM
+ * @param host the IP address on which it listens and at which peers reach it
  * @param callerPort the TCP port for callers
  * @param peerPort the TCP port for peers
  * @param operatorPort the TCP port for operators
  * @param platform the platform's address
- * @param seeds the peers to ask first at start, before the platform's list is known
- * @param stopSeconds the longest time that a planned stop may take, in seconds
+ * @param seeds the peers to contact first at start, before the platform's list has been read
+ * @param stopSeconds the time limit of a planned stop, in seconds
  * @param trafficThreads the number of traffic threads
- * @param largestHead the largest head of a caller's request in bytes
+ * @param largestHead the maximum size of the head of a caller's request, in bytes
  */
 public record Settings(
         String vm,
@@ -38,9 +38,9 @@
     }
 
     /**
-     * A peer known from the settings.
+     * A peer that is configured in the settings.
      *
-     * @param host its IP number
+     * @param host its IP address
      * @param peerPort its TCP port for peers
      */
     public record Seed(String host, int peerPort) {}
--- a/coppershelf/src/main/java/io/coppershelf/settings/SettingsFile.java
+++ b/coppershelf/src/main/java/io/coppershelf/settings/SettingsFile.java
@@ -30,7 +30,7 @@
     private static final List<String> PORTS = List.of("callerPort", "peerPort", "operatorPort");
     private static final int DEFAULT_STOP_SECONDS = 20;
     private static final int DEFAULT_TRAFFIC_THREADS = 8;
-    private static final int DEFAULT_LARGEST_HEAD = 16_384;
+    private static final int DEFAULT_LARGEST_HEAD_BYTES = 16_384;
 
     private SettingsFile() {}
 
@@ -98,10 +98,10 @@
     }
 
     private static void checkPorts(JsonNode document, Problems problems) {
-        Map<Integer, String> taken = new HashMap<>();
+        Map<Integer, String> keyByPort = new HashMap<>();
         for (String key : PORTS) {
             JsonNode port = document.path(key);
-            String other = port.isInt() ? taken.putIfAbsent(port.intValue(), key) : null;
+            String other = port.isInt() ? keyByPort.putIfAbsent(port.intValue(), key) : null;
             if (other != null) {
                 problems.add("/" + key, "must differ from /" + other + ", but both are " + port);
             }
@@ -125,6 +125,6 @@
                 seeds,
                 document.path("stopSeconds").asInt(DEFAULT_STOP_SECONDS),
                 document.path("trafficThreads").asInt(DEFAULT_TRAFFIC_THREADS),
-                document.path("largestHead").asInt(DEFAULT_LARGEST_HEAD));
+                document.path("largestHead").asInt(DEFAULT_LARGEST_HEAD_BYTES));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/settings/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of a daemon: JSON, checked against a schema, unknown keys refused. */
+/** Settings of a daemon: JSON that is validated against a schema; unknown keys are rejected. */
 package io.coppershelf.settings;
--- a/coppershelf/src/test/java/io/coppershelf/platform/internal/BackoffTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/platform/internal/BackoffTest.java
@@ -12,7 +12,7 @@
     private final Backoff backoff = new Backoff(new Random(7));
 
     @Test
-    void doesNotDelayBeforeAFailureNorAfterASuccess() {
+    void doesNotDelayBeforeAFailureOrAfterASuccess() {
         assertThat(backoff.remaining(0)).isEqualTo(Duration.ZERO);
         backoff.failed(0);
         backoff.succeeded();
@@ -21,7 +21,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 200", "2, 400", "3, 800", "6, 5000", "100, 5000"})
-    void doublesUpToTheLimitWithHalfOfItAtRandom(int failures, long millis) {
+    void doublesTheDelayUpToTheLimitAndRandomizesHalfOfIt(int failures, long millis) {
         for (int i = 0; i < failures; i++) {
             backoff.failed(0);
         }
--- a/coppershelf/src/test/java/io/coppershelf/settings/SettingsFileTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/settings/SettingsFileTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void refusesFileThatDoesNotExist() {
+    void rejectsFileThatDoesNotExist() {
         CoppershelfException failure =
                 assertThrows(CoppershelfException.class, () -> SettingsFile.read(Path.of("no-such-file.json")));
 
