--- a/coppershelf/src/main/java/io/coppershelf/caller/CallerComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/CallerComponent.java
@@ -10,17 +10,17 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** The part that takes callers' requests; the operator desk must be registered before {@link #register} is called. */
+/** The component that serves callers. Requires {@link OperatorRegistry} in the registry before {@link #register}. */
 public final class CallerComponent implements Component {
     private final CallerTimeouts timeouts;
     private volatile Optional<CallerServer> server = Optional.empty();
 
-    /** Creates the part and sets the properties of the JDK's server, before its classes load. */
+    /** Creates the component and sets the system properties of the JDK's HTTP server before its classes are loaded. */
     public CallerComponent() {
         this(CallerTimeouts.DEFAULT);
     }
 
-    /** Creates a part with other timeouts. */
+    /** Creates a component with the given timeouts. */
     CallerComponent(CallerTimeouts timeouts) {
         ServerProperties.apply();
         this.timeouts = timeouts;
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerAnswer.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerAnswer.java
@@ -14,11 +14,11 @@
 import java.util.Optional;
 
 /**
- * What goes out to a caller: the status, all headers but {@code Content-Length}, and the whole body.
+ * An answer to a caller: the status, all headers except {@code Content-Length}, and the complete body.
  *
  * @param status the HTTP status
  * @param headers the headers
- * @param body the whole body
+ * @param body the complete body
  */
 record CallerAnswer(int status, List<Header> headers, byte[] body) {
     private static final Duration SECOND = Duration.ofSeconds(1);
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerExchange.java
@@ -7,7 +7,7 @@
 import java.io.OutputStream;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** One exchange with a caller; it is answered once, whole. */
+/** An exchange with a caller; it is answered once, with a complete answer. */
 final class CallerExchange {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int NO_BODY = -1;
@@ -31,24 +31,24 @@
         return requestId;
     }
 
-    /** Returns whether an answer went out or is going out. */
+    /** Returns whether an answer has been sent or is being sent. */
     boolean isAnswered() {
         return isAnswered.get();
     }
 
-    /** Writes the answer and keeps the connection. */
+    /** Writes the answer and keeps the connection open. */
     void answer(CallerAnswer answer) {
         answer(answer, false);
     }
 
-    /** Writes the answer and closes the connection, since the request was not read to its end. */
+    /** Writes the answer and closes the connection, since the request was not read completely. */
     void answerAndClose(CallerAnswer answer) {
         answer(answer, true);
     }
 
-    /** Closes the connection of a caller that does not take its answer; the rest of the answer is not sent. */
+    /** Closes the connection of a caller that does not read its answer; the rest of the answer is not sent. */
     void abort() {
-        logger.atFine().log("[caller] The answer to %s is not taken.", requestId);
+        logger.atFine().log("[caller] The caller does not read the answer to %s.", requestId);
         exchange.close();
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerHandler.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerHandler.java
@@ -21,10 +21,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Reads a caller's request, checks it, hands it to the pipeline and writes the answer. */
+/** Reads a caller's request, validates it, passes it to the pipeline and writes the answer. */
 final class CallerHandler implements HttpHandler {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final String OWN_PATH = "/coppershelf/";
+    private static final String RESERVED_PATH = "/coppershelf/";
 
     private final Configuration.Source configuration;
     private final RequestPipeline pipeline;
@@ -33,9 +33,9 @@
     private final RequestIds ids;
     private final int largestHead;
     private final CallerTimeouts timeouts;
-    private final Executor answers;
+    private final Executor answerExecutor;
     private final ScheduledExecutorService timers;
-    private final Set<CallerExchange> open = ConcurrentHashMap.newKeySet();
+    private final Set<CallerExchange> openExchanges = ConcurrentHashMap.newKeySet();
     private volatile boolean isStopping;
 
     CallerHandler(
@@ -46,7 +46,7 @@
             RequestIds ids,
             int largestHead,
             CallerTimeouts timeouts,
-            Executor answers,
+            Executor answerExecutor,
             ScheduledExecutorService timers) {
         this.configuration = configuration;
         this.pipeline = pipeline;
@@ -55,7 +55,7 @@
         this.ids = ids;
         this.largestHead = largestHead;
         this.timeouts = timeouts;
-        this.answers = answers;
+        this.answerExecutor = answerExecutor;
         this.timers = timers;
     }
 
@@ -70,17 +70,17 @@
     }
 
     /** Returns the exchanges that are not answered yet. */
-    Set<CallerExchange> open() {
-        return open;
+    Set<CallerExchange> openExchanges() {
+        return openExchanges;
     }
 
     @Override
     public void handle(HttpExchange exchange) {
         long receivedNanos = time.nanos();
         CallerExchange[] self = new CallerExchange[1];
-        CallerExchange call = new CallerExchange(exchange, ids.next(), () -> open.remove(self[0]));
+        CallerExchange call = new CallerExchange(exchange, ids.next(), () -> openExchanges.remove(self[0]));
         self[0] = call;
-        open.add(call);
+        openExchanges.add(call);
         try {
             serve(call, receivedNanos);
         } catch (CoppershelfException e) {
@@ -108,7 +108,7 @@
                 head.idempotencyKey(),
                 receivedNanos + deadline(head, route).toNanos());
         var unused = pipeline.serve(request)
-                .thenAccept(result -> answers.execute(() -> answer(call, route, result, receivedNanos)));
+                .thenAccept(result -> answerExecutor.execute(() -> answer(call, route, result, receivedNanos)));
     }
 
     private void checkServing() {
@@ -122,12 +122,12 @@
 
     private RouteSpec route(RequestHead head) {
         Configuration current = configuration.current();
-        boolean isOwnPath = head.path().startsWith(OWN_PATH);
-        Optional<RouteSpec> route = isOwnPath ? Optional.empty() : current.route(head.method(), head.path());
+        boolean isReservedPath = head.path().startsWith(RESERVED_PATH);
+        Optional<RouteSpec> route = isReservedPath ? Optional.empty() : current.route(head.method(), head.path());
         if (route.isPresent()) {
             return route.get();
         }
-        if (!isOwnPath && current.isPathKnown(head.path())) {
+        if (!isReservedPath && current.isPathKnown(head.path())) {
             throw CoppershelfException.of(
                     ErrorKind.METHOD_NOT_ALLOWED, "No request kind of this path has the method " + head.method() + ".");
         }
@@ -139,7 +139,8 @@
             return new byte[0];
         }
         Future<?> timer = timers.schedule(
-                () -> answers.execute(() -> refuse(call, ErrorKind.SLOW_REQUEST, "The body took too long to arrive.")),
+                () -> answerExecutor.execute(
+                        () -> refuse(call, ErrorKind.SLOW_REQUEST, "The body took too long to arrive.")),
                 timeouts.body().toNanos(),
                 TimeUnit.NANOSECONDS);
         try {
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerHeaders.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerHeaders.java
@@ -1,6 +1,6 @@
 package io.coppershelf.caller.internal;
 
-/** The headers of the protocol with callers, as docs/protocols/caller.md gives them. */
+/** The headers of the protocol with callers, as specified in docs/protocols/caller.md. */
 final class CallerHeaders {
     static final String DEADLINE_MILLIS = "Coppershelf-Deadline-Ms";
     static final String IDEMPOTENCY_KEY = "Idempotency-Key";
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerServer.java
@@ -23,30 +23,30 @@
 /** The HTTP server for callers. */
 public final class CallerServer {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    /** The time without a request under way after which the port is closed. */
-    private static final Duration QUIET_BEFORE_CLOSE = Duration.ofMillis(200);
+    /** The time without open requests after which a stopping server closes its port. */
+    private static final Duration QUIET_TIME_BEFORE_CLOSE = Duration.ofMillis(200);
 
     private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(10);
     private static final int BACKLOG_CONNECTIONS = 1_024;
-    private static final int LEAST_THREADS = 64;
+    private static final int MIN_THREADS = 64;
     private static final int IDLE_THREAD_SECONDS = 30;
 
     private final HttpServer http;
     private final CallerHandler handler;
-    private final ThreadPoolExecutor readers;
-    private final ThreadPoolExecutor answers;
+    private final ThreadPoolExecutor readExecutor;
+    private final ThreadPoolExecutor answerExecutor;
     private final ScheduledThreadPoolExecutor timers;
 
     private CallerServer(
             HttpServer http,
             CallerHandler handler,
-            ThreadPoolExecutor readers,
-            ThreadPoolExecutor answers,
+            ThreadPoolExecutor readExecutor,
+            ThreadPoolExecutor answerExecutor,
             ScheduledThreadPoolExecutor timers) {
         this.http = http;
         this.handler = handler;
-        this.readers = readers;
-        this.answers = answers;
+        this.readExecutor = readExecutor;
+        this.answerExecutor = answerExecutor;
         this.timers = timers;
     }
 
@@ -55,9 +55,9 @@
         Settings settings = registry.require(Settings.NAME);
         Configuration.Source configuration = registry.require(Configuration.Source.NAME);
         TimeSource time = registry.require(TimeSource.NAME);
-        OperatorRegistry desk = registry.require(OperatorRegistry.NAME);
-        ThreadPoolExecutor readers = pool("caller-reader", settings.trafficThreads());
-        ThreadPoolExecutor answers = pool("caller-answer", settings.trafficThreads());
+        OperatorRegistry operatorRegistry = registry.require(OperatorRegistry.NAME);
+        ThreadPoolExecutor readExecutor = pool("caller-reader", settings.trafficThreads());
+        ThreadPoolExecutor answerExecutor = pool("caller-answer", settings.trafficThreads());
         ScheduledThreadPoolExecutor timers =
                 new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "caller-timer"));
         timers.setRemoveOnCancelPolicy(true);
@@ -65,19 +65,19 @@
                 configuration,
                 registry.require(RequestPipeline.NAME),
                 time,
-                new CallerMetrics(desk.metrics()),
+                new CallerMetrics(operatorRegistry.metrics()),
                 new RequestIds(settings.vm(), time.wallMillis()),
                 settings.largestHead(),
                 timeouts,
-                answers,
+                answerExecutor,
                 timers);
-        CallerServer server = new CallerServer(bind(settings), handler, readers, answers, timers);
+        CallerServer server = new CallerServer(bind(settings), handler, readExecutor, answerExecutor, timers);
         server.open();
         return server;
     }
 
     private static ThreadPoolExecutor pool(String name, int threads) {
-        int size = Math.max(LEAST_THREADS, threads);
+        int size = Math.max(MIN_THREADS, threads);
         ThreadPoolExecutor pool = new ThreadPoolExecutor(
                 size,
                 size,
@@ -102,7 +102,7 @@
     }
 
     private void open() {
-        http.setExecutor(readers);
+        http.setExecutor(readExecutor);
         http.createContext("/", handler);
         http.start();
         logger.atInfo().log("[caller] Listening on %s.", http.getAddress());
@@ -118,30 +118,34 @@
         return handler.isServing();
     }
 
-    /** Becomes unready and refuses new requests. */
+    /** Marks the server as not ready and refuses new requests. */
     public void beginStop() {
         handler.beginStop();
     }
 
-    /** Waits until all requests under way are answered; what is left after the limit is answered as unknown. */
+    /**
+     * Waits until all open requests are answered; requests that are unanswered after the limit are answered with an
+     * unknown outcome.
+     */
     public void stop(Duration limit) {
         beginStop();
-        long end = System.nanoTime() + limit.toNanos();
-        long quietSince = System.nanoTime();
-        while (System.nanoTime() < end && System.nanoTime() - quietSince < QUIET_BEFORE_CLOSE.toNanos()) {
+        long endNanos = System.nanoTime() + limit.toNanos();
+        long quietSinceNanos = System.nanoTime();
+        while (System.nanoTime() < endNanos
+                && System.nanoTime() - quietSinceNanos < QUIET_TIME_BEFORE_CLOSE.toNanos()) {
             LockSupport.parkNanos(STOP_POLL_INTERVAL.toNanos());
-            quietSince = handler.open().isEmpty() ? quietSince : System.nanoTime();
+            quietSinceNanos = handler.openExchanges().isEmpty() ? quietSinceNanos : System.nanoTime();
         }
-        List<CallerExchange> left = List.copyOf(handler.open());
-        left.forEach(call -> call.answerAndClose(CallerAnswer.failed(
+        List<CallerExchange> unanswered = List.copyOf(handler.openExchanges());
+        unanswered.forEach(call -> call.answerAndClose(CallerAnswer.failed(
                 call.requestId(),
                 ErrorKind.INTERNAL,
                 "This VM stopped before the outcome was known.",
                 ErrorKind.INTERNAL.retryAfter())));
         http.stop(0);
-        readers.shutdown();
-        answers.shutdown();
+        readExecutor.shutdown();
+        answerExecutor.shutdown();
         timers.shutdownNow();
-        logger.atInfo().log("[caller] Stopped with %s requests cut off.", left.size());
+        logger.atInfo().log("[caller] Stopped with %s requests cut off.", unanswered.size());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerTimeouts.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerTimeouts.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * The longest times that a caller may take.
+ * Time limits for callers.
  *
- * @param body for its body to arrive
- * @param answer to take its answer
+ * @param body the time limit for receiving the body of a request
+ * @param answer the time limit for the caller to read its answer
  */
 public record CallerTimeouts(Duration body, Duration answer) {
-    /** The timeouts of the product. */
+    /** The default timeouts. */
     public static final CallerTimeouts DEFAULT = new CallerTimeouts(Duration.ofSeconds(5), Duration.ofSeconds(20));
 }
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/RequestBody.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/RequestBody.java
@@ -6,15 +6,15 @@
 import java.io.InputStream;
 import java.util.OptionalLong;
 
-/** Reads the body of a caller's request whole. */
+/** Reads the complete body of a caller's request. */
 final class RequestBody {
     private RequestBody() {}
 
     /**
      * Reads the body.
      *
-     * @param length the stated length in bytes, empty if it comes in chunks
-     * @param limit the largest length in bytes
+     * @param length the stated length in bytes, empty if the body is chunked
+     * @param limit the maximum length in bytes
      * @throws CoppershelfException with {@link ErrorKind#BODY_TOO_LARGE} or {@link ErrorKind#MALFORMED_REQUEST}
      */
     static byte[] read(InputStream in, OptionalLong length, int limit) {
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/RequestHead.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/RequestHead.java
@@ -15,15 +15,15 @@
 import java.util.OptionalLong;
 
 /**
- * The head of a caller's request, checked.
+ * The validated head of a caller's request.
  *
  * @param method the HTTP method
  * @param path the path, not decoded
  * @param target the path and query, not decoded
  * @param headers all headers
- * @param deadline the longest time that the caller gives
- * @param idempotencyKey the caller's key
- * @param length the stated length of the body in bytes, empty if it comes in chunks
+ * @param deadline the time limit that the caller sets
+ * @param idempotencyKey the caller's idempotency key
+ * @param length the stated length of the body in bytes, empty if the body is chunked
  */
 record RequestHead(
         String method,
@@ -33,14 +33,14 @@
         Optional<Duration> deadline,
         Optional<String> idempotencyKey,
         OptionalLong length) {
-    private static final int LINE_OVERHEAD = 4;
-    private static final int LONGEST_KEY = 200;
-    private static final int MOST_DEADLINE_DIGITS = 9;
+    private static final int HEADER_LINE_OVERHEAD_BYTES = 4;
+    private static final int MAX_KEY_LENGTH = 200;
+    private static final int MAX_DEADLINE_DIGITS = 9;
 
     /**
      * Reads the head of an exchange.
      *
-     * @throws CoppershelfException with the kind that the caller is told
+     * @throws CoppershelfException with the error kind to report to the caller
      */
     static RequestHead of(HttpExchange exchange, int largestHead) {
         Headers headers = exchange.getRequestHeaders();
@@ -64,7 +64,7 @@
         long size = uri.toString().length();
         for (Map.Entry<String, List<String>> entry : headers.entrySet()) {
             for (String value : entry.getValue()) {
-                size += (long) entry.getKey().length() + value.length() + LINE_OVERHEAD;
+                size += (long) entry.getKey().length() + value.length() + HEADER_LINE_OVERHEAD_BYTES;
             }
         }
         if (size > largestHead) {
@@ -109,9 +109,9 @@
     private static void checkSegment(String segment) {
         String decoded = URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8);
         boolean isDots = decoded.equals(".") || decoded.equals("..");
-        boolean hasHiddenSlash = decoded.indexOf('/') >= 0 || decoded.indexOf('\\') >= 0;
+        boolean hasEncodedSlash = decoded.indexOf('/') >= 0 || decoded.indexOf('\\') >= 0;
         boolean hasControl = decoded.chars().anyMatch(Character::isISOControl);
-        if (isDots || hasHiddenSlash || hasControl) {
+        if (isDots || hasEncodedSlash || hasControl) {
             throw malformed("expected a path without dot segments, encoded slashes and control characters");
         }
     }
@@ -123,7 +123,7 @@
         }
         String value = stated.get();
         boolean isNumber = value.chars().allMatch(c -> c >= '0' && c <= '9');
-        if (!isNumber || value.isEmpty() || value.length() > MOST_DEADLINE_DIGITS || Long.parseLong(value) == 0) {
+        if (!isNumber || value.isEmpty() || value.length() > MAX_DEADLINE_DIGITS || Long.parseLong(value) == 0) {
             throw CoppershelfException.of(
                     ErrorKind.INVALID_DEADLINE,
                     "expected Coppershelf-Deadline-Ms to be whole milliseconds from 1 to 999999999");
@@ -134,7 +134,7 @@
     private static Optional<String> idempotencyKey(Headers headers) {
         Optional<String> key = single(headers, CallerHeaders.IDEMPOTENCY_KEY, ErrorKind.INVALID_KEY);
         boolean isInvalid = key.filter(value -> value.isEmpty()
-                        || value.length() > LONGEST_KEY
+                        || value.length() > MAX_KEY_LENGTH
                         || value.chars().anyMatch(c -> c <= 0x20 || c >= 0x7f))
                 .isPresent();
         if (isInvalid) {
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/RequestIds.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/RequestIds.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Gives ids to requests that are unique over the fleet: the VM, its start and a count. */
+/** Generates request ids that are unique across the fleet, from the VM, its start time and a counter. */
 final class RequestIds {
     private static final int RADIX = 36;
 
     private final String prefix;
-    private final AtomicLong count = new AtomicLong();
+    private final AtomicLong counter = new AtomicLong();
 
     RequestIds(String vm, long startMillis) {
         this.prefix = vm.replaceAll("[^A-Za-z0-9-]", "-") + "-" + Long.toString(startMillis, RADIX) + "-";
@@ -15,6 +15,6 @@
 
     /** Returns the next id. */
     String next() {
-        return prefix + Long.toString(count.incrementAndGet(), RADIX);
+        return prefix + Long.toString(counter.incrementAndGet(), RADIX);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 from callers over the JDK's server. */
+/** Serves HTTP/1.1 requests of callers with the JDK's server. */
 package io.coppershelf.caller.internal;
--- a/coppershelf/src/main/java/io/coppershelf/caller/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/package-info.java
@@ -1,2 +1,2 @@
-/** Takes callers' HTTP/1.1 requests, checks them, and gives whole answers. */
+/** Receives callers' HTTP/1.1 requests, validates them, and sends complete answers. */
 package io.coppershelf.caller;
--- a/coppershelf/src/main/java/io/coppershelf/daemon/Daemon.java
+++ b/coppershelf/src/main/java/io/coppershelf/daemon/Daemon.java
@@ -29,7 +29,7 @@
     private static final int EXIT_OK = 0;
 
     private final ComponentRegistry registry;
-    private final ComponentManager kernel;
+    private final ComponentManager manager;
     private final SingleControlThread control;
     private final CallerComponent caller;
     private final Duration stopLimit;
@@ -37,60 +37,60 @@
 
     private Daemon(
             ComponentRegistry registry,
-            ComponentManager kernel,
+            ComponentManager manager,
             SingleControlThread control,
             CallerComponent caller,
             Duration stopLimit) {
         this.registry = registry;
-        this.kernel = kernel;
+        this.manager = manager;
         this.control = control;
         this.caller = caller;
         this.stopLimit = stopLimit;
     }
 
-    /** Starts all parts. */
+    /** Starts all components. */
     public static Daemon start(Settings settings) {
         CallerComponent caller = new CallerComponent();
         return start(settings, DaemonComponents.beforeCaller(), caller);
     }
 
-    /** Starts the given parts and, after them, the one for callers. */
-    static Daemon start(Settings settings, List<Component> parts, CallerComponent caller) {
+    /** Starts the given components, then the one for callers. */
+    static Daemon start(Settings settings, List<Component> components, CallerComponent caller) {
         SingleControlThread control = new SingleControlThread();
         ComponentRegistry registry = new ComponentRegistry();
         registry.register(Settings.NAME, settings);
         registry.register(TimeSource.NAME, TimeSource.system());
         registry.register(ControlThread.NAME, control);
-        List<Component> all = new ArrayList<>(parts);
+        List<Component> all = new ArrayList<>(components);
         all.add(caller);
-        ComponentManager kernel = new ComponentManager(registry, all);
+        ComponentManager manager = new ComponentManager(registry, all);
         try {
-            kernel.start();
+            manager.start();
         } catch (RuntimeException e) {
             control.close();
             throw e;
         }
-        logger.atInfo().log("[kernel] VM %s started.", settings.vm());
-        return new Daemon(registry, kernel, control, caller, Duration.ofSeconds(settings.stopSeconds()));
+        logger.atInfo().log("[daemon] VM %s started.", settings.vm());
+        return new Daemon(registry, manager, control, caller, Duration.ofSeconds(settings.stopSeconds()));
     }
 
     /**
-     * Starts all parts and returns only when the process is told to end. On a termination signal all parts are stopped
-     * and the process exits with status 0.
+     * Starts all components and blocks until the process is terminated. On a termination signal all components are
+     * stopped and the process exits with status 0.
      */
     public static void runUntilTerminated(Settings settings) throws InterruptedException {
         runUntilTerminated(settings, List.of());
     }
 
     /**
-     * Does the same with some parts started before all others.
+     * Starts all components, the given ones first, and blocks until the process is terminated.
      *
-     * @param first the parts to start first
+     * @param first the components to start first
      */
     public static void runUntilTerminated(Settings settings, List<Component> first) throws InterruptedException {
-        List<Component> parts = new ArrayList<>(first);
-        parts.addAll(DaemonComponents.beforeCaller());
-        Daemon daemon = start(settings, parts, new CallerComponent());
+        List<Component> components = new ArrayList<>(first);
+        components.addAll(DaemonComponents.beforeCaller());
+        Daemon daemon = start(settings, components, new CallerComponent());
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -106,15 +106,18 @@
         return caller.address();
     }
 
-    /** Stops all parts: no new work, what is under way is finished or truthfully answered. */
+    /**
+     * Stops all components. New requests are refused; requests in flight are finished or answered with their true
+     * outcome.
+     */
     public synchronized void stop() {
         if (isStopped) {
             return;
         }
         isStopped = true;
         registry.find(LeaveNotice.NAME).ifPresent(LeaveNotice::leave);
-        kernel.stop(stopLimit);
+        manager.stop(stopLimit);
         control.close();
-        logger.atInfo().log("[kernel] Stopped.");
+        logger.atInfo().log("[daemon] Stopped.");
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/daemon/DaemonComponents.java
+++ b/coppershelf/src/main/java/io/coppershelf/daemon/DaemonComponents.java
@@ -13,11 +13,11 @@
 import io.coppershelf.ticket.TicketComponent;
 import java.util.List;
 
-/** The parts of the daemon, in the order of their start. */
+/** The components of the daemon, in the order of their start. */
 final class DaemonComponents {
     private DaemonComponents() {}
 
-    /** Returns all parts but the one for callers. */
+    /** Returns all components except the one for callers. */
     static List<Component> beforeCaller() {
         return List.of(
                 new OperatorComponent(),
--- a/coppershelf/src/main/java/io/coppershelf/daemon/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** Assembles the parts into the daemon that runs on each entry VM. */
+/** Assembles the components into the daemon that runs on each entry VM. */
 package io.coppershelf.daemon;
--- a/coppershelf/src/test/java/io/coppershelf/caller/CallerComponentTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/caller/CallerComponentTest.java
@@ -39,19 +39,19 @@
 
 @Timeout(60)
 class CallerComponentTest implements RequestPipeline {
-    private static final int LARGEST_HEAD = 2_000;
+    private static final int MAX_HEAD_BYTES = 2_000;
     private static final String GET = "GET /shifts/7 HTTP/1.1\nHost: x\n";
     private static final String POST = "POST /claims HTTP/1.1\nHost: x\n";
 
     private final List<InboundRequest> served = new CopyOnWriteArrayList<>();
-    private CompletableFuture<RequestResult> next =
+    private CompletableFuture<RequestResult> result =
             CompletableFuture.completedFuture(RequestResult.answered(new Answer(200, List.of(), bytes("whole"))));
-    private CallerComponent part;
+    private CallerComponent component;
 
     @Override
     public CompletableFuture<RequestResult> serve(InboundRequest request) {
         served.add(request);
-        return next;
+        return result;
     }
 
     @BeforeEach
@@ -76,21 +76,21 @@
                         List.of(),
                         1,
                         2,
-                        LARGEST_HEAD));
+                        MAX_HEAD_BYTES));
         FakeComponents.of(FakeComponents.server(1, 1)).register(registry);
-        part = new CallerComponent(timeouts);
-        part.register(registry);
-        part.start(registry);
+        component = new CallerComponent(timeouts);
+        component.register(registry);
+        component.start(registry);
     }
 
     private void restartWithShortTimeouts() {
-        part.stop(Duration.ZERO);
+        component.stop(Duration.ZERO);
         start(new CallerTimeouts(Duration.ofMillis(300), Duration.ofMillis(300)));
     }
 
     @AfterEach
     void stop() {
-        part.stop(Duration.ofSeconds(20));
+        component.stop(Duration.ofSeconds(20));
     }
 
     private static byte[] bytes(String text) {
@@ -98,7 +98,7 @@
     }
 
     private Reply exchange(String request) throws IOException {
-        return RawCaller.exchange(part.address(), request);
+        return RawCaller.exchange(component.address(), request);
     }
 
     static Stream<Arguments> badRequests() {
@@ -131,13 +131,13 @@
                 Arguments.of(
                         POST + "Transfer-Encoding: chunked\n\n65\n" + "x".repeat(101) + "\n0\n\n", "body-too-large"),
                 Arguments.of(POST + "Transfer-Encoding: chunked\n\nzz\nbad\n", "malformed-request"),
-                Arguments.of(GET + "X-Long: " + "x".repeat(LARGEST_HEAD) + "\n\n", "head-too-large"),
-                Arguments.of("GET /shifts/" + "x".repeat(LARGEST_HEAD) + " HTTP/1.1\nHost: x\n\n", "head-too-large"));
+                Arguments.of(GET + "X-Long: " + "x".repeat(MAX_HEAD_BYTES) + "\n\n", "head-too-large"),
+                Arguments.of("GET /shifts/" + "x".repeat(MAX_HEAD_BYTES) + " HTTP/1.1\nHost: x\n\n", "head-too-large"));
     }
 
     @ParameterizedTest
     @MethodSource("badRequests")
-    void refusesBadRequestAsNotRunAndServesNothing(String request, String error) throws IOException {
+    void refusesInvalidRequestAsNotRunWithoutServingIt(String request, String error) throws IOException {
         Reply reply = exchange(request);
 
         ErrorKind kind = Stream.of(ErrorKind.values())
@@ -166,7 +166,7 @@
     @ParameterizedTest
     @MethodSource("unparsableRequests")
     void refusesRequestThatCannotBeParsedAndClosesItsConnection(String request, int status) throws IOException {
-        try (RawCaller caller = RawCaller.connect(part.address())) {
+        try (RawCaller caller = RawCaller.connect(component.address())) {
             caller.send(request + GET + "\n");
 
             assertThat(caller.reply().status()).isEqualTo(status);
@@ -176,11 +176,11 @@
     }
 
     @Test
-    void closesConnectionOfEndlessHead() throws IOException {
+    void closesConnectionOfOversizedHead() throws IOException {
         String head = Stream.generate(() -> "X-Filler: " + "x".repeat(1_000) + "\n")
                 .limit(600)
                 .collect(Collectors.joining());
-        try (RawCaller caller = RawCaller.connect(part.address())) {
+        try (RawCaller caller = RawCaller.connect(component.address())) {
             caller.sendIgnoringErrors(GET + head + "\n");
 
             assertThat(caller.replyOrEmpty().head()).isEmpty();
@@ -189,9 +189,9 @@
     }
 
     @Test
-    void refusesBodyThatTakesTooLong() throws IOException {
+    void refusesRequestWhoseBodyArrivesTooSlowly() throws IOException {
         restartWithShortTimeouts();
-        try (RawCaller caller = RawCaller.connect(part.address())) {
+        try (RawCaller caller = RawCaller.connect(component.address())) {
             caller.send(POST + "Content-Length: 10\n\nslow");
 
             Reply reply = caller.reply();
@@ -203,21 +203,21 @@
     }
 
     @Test
-    void closesConnectionOfCallerThatDoesNotTakeItsAnswer() throws IOException {
+    void closesConnectionOfCallerThatDoesNotReadItsAnswer() throws IOException {
         restartWithShortTimeouts();
         byte[] large = new byte[30_000_000];
-        next = CompletableFuture.completedFuture(RequestResult.answered(new Answer(200, List.of(), large)));
-        try (RawCaller caller = RawCaller.connect(part.address())) {
+        result = CompletableFuture.completedFuture(RequestResult.answered(new Answer(200, List.of(), large)));
+        try (RawCaller caller = RawCaller.connect(component.address())) {
             caller.send(GET + "\n");
             awaitServed();
-            part.stop(Duration.ofSeconds(50));
+            component.stop(Duration.ofSeconds(50));
 
             assertThat(caller.readBodyLength(large.length)).isLessThan(large.length);
         }
     }
 
     @Test
-    void handsOnCheckedRequestWithoutHeadersThatAreNotTheCallers() throws IOException {
+    void forwardsRequestWithoutHopByHopAndReservedHeaders() throws IOException {
         String request = POST
                 + "X-Sent: a\nX-Sent: b\nConnection: keep-alive, X-Hop\nX-Hop: 1\nCoppershelf-Try-Id: forged\n"
                 + "coppershelf-outcome: run\nTE: trailers\nIdempotency-Key: " + "k".repeat(200)
@@ -238,7 +238,7 @@
 
     @ParameterizedTest
     @CsvSource({"'', 20000", "50, 50", "999999999, 20000"})
-    void letsCallerLowerTheDeadlineOnly(String stated, long expectedMillis) throws IOException {
+    void callerCanOnlyShortenTheDeadline(String stated, long expectedMillis) throws IOException {
         long before = System.nanoTime();
 
         assertThat(exchange(GET + (stated.isEmpty() ? "" : "Coppershelf-Deadline-Ms: " + stated + "\n") + "\n")
@@ -254,8 +254,8 @@
 
     @ParameterizedTest
     @EnumSource
-    void answersEachErrorKindByTheTable(ErrorKind kind) throws IOException {
-        next = CompletableFuture.completedFuture(
+    void answersEachErrorKindWithItsStatusAndHeaders(ErrorKind kind) throws IOException {
+        result = CompletableFuture.completedFuture(
                 new RequestResult(Optional.empty(), Optional.of(kind), Optional.of(Duration.ofMillis(1_001))));
 
         Reply reply = exchange(GET + "\n");
@@ -270,9 +270,9 @@
 
     @ParameterizedTest
     @CsvSource({"200, GET, 300000", "200, GET, 0", "204, GET, 0", "304, GET, 0", "500, POST, 10"})
-    void givesServersAnswerWhole(int status, String method, int length) throws IOException {
+    void returnsCompleteAnswerOfServer(int status, String method, int length) throws IOException {
         String body = "x".repeat(length);
-        next = CompletableFuture.completedFuture(RequestResult.answered(
+        result = CompletableFuture.completedFuture(RequestResult.answered(
                 new Answer(status, List.of(new Header("x-kept", "1"), new Header("x-kept", "2")), bytes(body))));
 
         String request = method.equals("GET") ? GET + "\n" : POST + "Content-Length: 0\n\n";
@@ -286,19 +286,19 @@
     }
 
     private Reply headOnly(String request) throws IOException {
-        try (RawCaller caller = RawCaller.connect(part.address())) {
+        try (RawCaller caller = RawCaller.connect(component.address())) {
             caller.send(request);
             return caller.head();
         }
     }
 
     @Test
-    void answersWhatIsLeftAtStopAsUnknown() throws IOException {
-        next = new CompletableFuture<>();
-        try (RawCaller caller = RawCaller.connect(part.address())) {
+    void answersRequestsLeftAtStopWithUnknownOutcome() throws IOException {
+        result = new CompletableFuture<>();
+        try (RawCaller caller = RawCaller.connect(component.address())) {
             caller.send(POST + "Content-Length: 0\n\n");
             awaitServed();
-            part.stop(Duration.ZERO);
+            component.stop(Duration.ZERO);
 
             assertThat(caller.reply().header("Coppershelf-Outcome")).isEqualTo("unknown");
         }
--- a/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/daemon/DaemonTest.java
@@ -51,9 +51,9 @@
                 4,
                 8_000);
         CallerComponent caller = new CallerComponent();
-        List<Component> parts =
+        List<Component> components =
                 List.of(fakes, new BackendComponent(), new AdmissionComponent(), new RoutingComponent());
-        daemon = Daemon.start(settings, parts, caller);
+        daemon = Daemon.start(settings, components, caller);
     }
 
     @AfterEach
@@ -101,8 +101,8 @@
         "short, 502, answer-truncated, unknown, 1",
         "large, 502, answer-too-large, run, 1",
     })
-    void tellsTruthOfFailedTryAndNeverSendsUnprovedWorkAgain(
-            String fault, int status, String error, String outcome, int tries) throws Exception {
+    void reportsTrueOutcomeOfFailedAttemptAndRetriesOnlyIfProvenNotRun(
+            String fault, int status, String error, String outcome, int attempts) throws Exception {
         start(request -> faulty(fault, request));
 
         Reply reply = exchange(CLAIM);
@@ -111,7 +111,7 @@
         assertThat(reply.header("Coppershelf-Error")).isEqualTo(error);
         assertThat(reply.header("Coppershelf-Outcome")).isEqualTo(outcome);
         assertThat(reply.body()).contains("\"requestId\":\"" + reply.header("Coppershelf-Request-Id"));
-        assertThat(server.workRequests()).hasSize(tries);
+        assertThat(server.workRequests()).hasSize(attempts);
     }
 
     private static byte[] faulty(String fault, Received request) {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void answersAllUnderWayBeforeItStops() throws Exception {
+    void answersOpenRequestsBeforeItStops() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(request -> {
             await(release);
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void tellsTruthOfAllThatIsRunningOrWaitingDuringStop() throws Exception {
+    void reportsTrueOutcomeOfRunningAndWaitingRequestsDuringStop() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(request -> {
             await(release);
@@ -166,16 +166,16 @@
         awaitUnready();
         release.countDown();
 
-        int whole = 0;
+        int completeAnswers = 0;
         for (RawCaller caller : callers) {
             Reply reply = caller.reply();
-            whole += reply.body().equals("whole") ? 1 : 0;
+            completeAnswers += reply.body().equals("whole") ? 1 : 0;
             assertThat(reply.header("Coppershelf-Outcome")).isEqualTo(reply.status() == 200 ? "run" : "not-run");
             caller.close();
         }
         stop.join();
-        assertThat(whole).isAtLeast(1);
-        assertThat(server.workRequests()).hasSize(whole);
+        assertThat(completeAnswers).isAtLeast(1);
+        assertThat(server.workRequests()).hasSize(completeAnswers);
     }
 
     private void awaitUnready() {
