--- a/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
@@ -5,12 +5,12 @@
 import io.coppershelf.cli.internal.OperatorClient;
 import java.util.List;
 
-/** Reads the addresses given to a command. */
+/** Parses the daemon addresses that are given to a command. */
 final class Addresses {
     private Addresses() {}
 
     /**
-     * Reads one address.
+     * Parses one address.
      *
      * @throws UsageException if it has another form than {@code HOST:PORT}
      */
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Reads addresses that are separated by commas.
+     * Parses addresses that are separated by commas.
      *
-     * @param isFleet whether all daemons that the given ones know are added
+     * @param isFleet whether to add all live daemons that the given ones report
      * @throws UsageException if one of them has another form than {@code HOST:PORT}
      */
     static List<DaemonAddress> parseAll(String text, boolean isFleet, OperatorClient client) {
--- a/coppershelf/src/main/java/io/coppershelf/cli/CliCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/CliCommand.java
@@ -6,8 +6,8 @@
      * Runs the command.
      *
      * @return the exit code, one of {@link ExitCode}
-     * @throws UsageException if the words given to it make no sense
-     * @throws InterruptedException if the process is told to end
+     * @throws UsageException if its arguments are not valid
+     * @throws InterruptedException if the process is terminated
      */
     int run(Console console) throws InterruptedException;
 }
--- a/coppershelf/src/main/java/io/coppershelf/cli/CommandLine.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/CommandLine.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Finds the command that the words of a command line ask for, and runs it. */
+/** Parses a command line and runs its command. */
 final class CommandLine {
     private static final List<String> HELP_OPTIONS = List.of("--help", "-h");
 
@@ -24,16 +24,16 @@
      * @return the exit code
      */
     static int run(String[] args, Console console) throws InterruptedException {
-        List<String> words = List.of(args);
-        if (words.stream().anyMatch(HELP_OPTIONS::contains)) {
-            return help(commandWords(words), console);
+        List<String> arguments = List.of(args);
+        if (arguments.stream().anyMatch(HELP_OPTIONS::contains)) {
+            return help(commandNames(arguments), console);
         }
         try {
             return cli().parse(args).run(console);
         } catch (ParseException | UsageException e) {
             console.err().println("coppershelf: " + e.getMessage());
             console.err().println();
-            printHelp(knownWords(words), console.err());
+            printHelp(knownPrefix(arguments), console.err());
             return ExitCode.USAGE;
         } catch (CoppershelfException e) {
             console.err().println("coppershelf: " + e.getMessage());
@@ -42,13 +42,13 @@
     }
 
     /** Prints help for a command, a group or all commands. */
-    static int help(List<String> words, Console console) {
-        if (!words.isEmpty() && knownWords(words).size() < words.size()) {
-            console.err().println("coppershelf: no such command: " + String.join(" ", words));
+    static int help(List<String> arguments, Console console) {
+        if (!arguments.isEmpty() && knownPrefix(arguments).size() < arguments.size()) {
+            console.err().println("coppershelf: no such command: " + String.join(" ", arguments));
             printHelp(List.of(), console.err());
             return ExitCode.USAGE;
         }
-        printHelp(words, console.out());
+        printHelp(arguments, console.out());
         return ExitCode.OK;
     }
 
@@ -75,34 +75,36 @@
         };
     }
 
-    private static void printHelp(List<String> words, OutputStream out) {
+    private static void printHelp(List<String> arguments, OutputStream out) {
         try {
-            Help.help(cli().getMetadata(), words, out);
+            Help.help(cli().getMetadata(), arguments, out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static List<String> commandWords(List<String> words) {
-        return words.stream()
-                .takeWhile(word -> !word.startsWith("-"))
-                .filter(word -> !word.equals("help"))
+    private static List<String> commandNames(List<String> arguments) {
+        return arguments.stream()
+                .takeWhile(argument -> !argument.startsWith("-"))
+                .filter(argument -> !argument.equals("help"))
                 .toList();
     }
 
-    /** Returns the longest beginning of the words that names a command or a group. */
-    private static List<String> knownWords(List<String> words) {
-        if (words.isEmpty()) {
-            return words;
+    /** Returns the longest prefix of the arguments that names a command or a group. */
+    private static List<String> knownPrefix(List<String> arguments) {
+        if (arguments.isEmpty()) {
+            return arguments;
         }
-        String first = words.get(0);
+        String first = arguments.get(0);
         boolean isGroup = cli().getMetadata().getCommandGroups().stream()
                 .anyMatch(group -> group.getName().equals(first));
         if (isGroup) {
-            return words.size() > 1 && words.get(1).equals("check") ? words.subList(0, 2) : words.subList(0, 1);
+            return arguments.size() > 1 && arguments.get(1).equals("check")
+                    ? arguments.subList(0, 2)
+                    : arguments.subList(0, 1);
         }
         boolean isCommand = cli().getMetadata().getDefaultGroupCommands().stream()
                 .anyMatch(command -> command.getName().equals(first));
-        return isCommand ? words.subList(0, 1) : List.of();
+        return isCommand ? arguments.subList(0, 1) : List.of();
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/cli/Console.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/Console.java
@@ -3,9 +3,9 @@
 import java.io.PrintStream;
 
 /**
- * Where a command writes.
+ * The output streams of a command.
  *
- * @param out takes what was asked for
- * @param err takes everything else
+ * @param out receives the result of the command
+ * @param err receives errors and notes
  */
 record Console(PrintStream out, PrintStream err) {}
--- a/coppershelf/src/main/java/io/coppershelf/cli/ExitCode.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/ExitCode.java
@@ -2,9 +2,9 @@
 
 /** The exit codes of the commands. */
 final class ExitCode {
-    /** What was asked for was done. */
+    /** The command succeeded. */
     static final int OK = 0;
-    /** What was asked for failed. */
+    /** The command failed. */
     static final int FAILED = 1;
     /** The command line is not valid. */
     static final int USAGE = 2;
--- a/coppershelf/src/main/java/io/coppershelf/cli/ExplainCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/ExplainCommand.java
@@ -19,7 +19,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tells the story of one request from the logs of one or more VMs. */
+/** Explains what happened to a request, from the logs of one or more VMs. */
 @Command(
         name = "explain",
         description = "Tells what happened to a request, and what was known of its servers, from logs")
@@ -54,14 +54,14 @@
                 throw CoppershelfException.causedBy(ErrorKind.INTERNAL, "can't read " + file + ": " + e, e);
             }
         }
-        List<LogLine> story = RequestTrace.of(request, lines);
-        if (story.isEmpty()) {
+        List<LogLine> trace = RequestTrace.of(request, lines);
+        if (trace.isEmpty()) {
             console.err().println("coppershelf: no line is about request " + request);
             return ExitCode.FAILED;
         }
-        story.forEach(line -> console.out().println(isJson ? line.json() : line.text()));
+        trace.forEach(line -> console.out().println(isJson ? line.json() : line.text()));
         if (!isJson) {
-            console.out().println(RequestTrace.cause(request, story));
+            console.out().println(RequestTrace.cause(request, trace));
         }
         return ExitCode.OK;
     }
--- a/coppershelf/src/main/java/io/coppershelf/cli/HelpCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/HelpCommand.java
@@ -9,10 +9,10 @@
 @Command(name = "help", description = "Prints help for a command, or the list of commands")
 public final class HelpCommand implements CliCommand {
     @Arguments(description = "The command to explain", title = "COMMAND")
-    private List<String> words = new ArrayList<>();
+    private List<String> command = new ArrayList<>();
 
     @Override
     public int run(Console console) {
-        return CommandLine.help(words, console);
+        return CommandLine.help(command, console);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/cli/Main.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/Main.java
@@ -9,7 +9,7 @@
     /**
      * Runs one command and exits with its code.
      *
-     * @param args the words of the command line
+     * @param args the arguments of the command line
      */
     public static void main(String[] args) throws InterruptedException {
         Logging.prepare();
--- a/coppershelf/src/main/java/io/coppershelf/cli/NoCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/NoCommand.java
@@ -2,7 +2,7 @@
 
 import com.github.rvesse.airline.annotations.Command;
 
-/** Stands in where the command line names no command. */
+/** Runs if the command line names no command, and fails. */
 @Command(name = "no-command", description = "Says that a command is missing", hidden = true)
 public final class NoCommand implements CliCommand {
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/cli/TicketsCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/TicketsCommand.java
@@ -54,9 +54,9 @@
     public int run(Console console) throws InterruptedException {
         OperatorClient client = new OperatorClient();
         List<DaemonAddress> daemons = Addresses.parseAll(at, isFleet, client);
-        long end = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos();
+        long endNanos = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos();
         Map<DaemonAddress, Optional<JsonNode>> answers = client.fetchAll(daemons, "/ticket");
-        while (exitCode(answers) != ExitCode.OK && System.nanoTime() - end < 0) {
+        while (exitCode(answers) != ExitCode.OK && System.nanoTime() - endNanos < 0) {
             TimeUnit.NANOSECONDS.sleep(POLL_INTERVAL.toNanos());
             answers = client.fetchAll(daemons, "/ticket");
         }
@@ -72,12 +72,12 @@
         if (answers.values().stream().anyMatch(Optional::isEmpty)) {
             return ExitCode.NOT_REACHABLE;
         }
-        boolean isReached = answers.values().stream()
+        boolean isInForce = answers.values().stream()
                 .allMatch(answer -> answer.orElseThrow().at("/ticket/number").asLong() >= ticket);
-        return isReached && isAgreed(answers) ? ExitCode.OK : ExitCode.FAILED;
+        return isInForce && isAgreed(answers) ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    /** Returns whether all daemons that answered hold the same configuration. */
+    /** Returns whether all daemons that answered have the same configuration. */
     private static boolean isAgreed(Map<DaemonAddress, Optional<JsonNode>> answers) {
         return answers.values().stream()
                         .flatMap(Optional::stream)
@@ -96,10 +96,10 @@
                 answer.map(status -> status.at("/ticket/digest").asText()).orElse("-")));
         table.lines().forEach(out::println);
         long answered = answers.values().stream().flatMap(Optional::stream).count();
-        out.printf("%d of %d daemons answered%s%n", answered, answers.size(), verdict(answers, answered));
+        out.printf("%d of %d daemons answered%s%n", answered, answers.size(), agreement(answers, answered));
     }
 
-    private static String verdict(Map<DaemonAddress, Optional<JsonNode>> answers, long answered) {
+    private static String agreement(Map<DaemonAddress, Optional<JsonNode>> answers, long answered) {
         if (answered == 0) {
             return "";
         }
--- a/coppershelf/src/main/java/io/coppershelf/cli/TimelineCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/TimelineCommand.java
@@ -63,7 +63,7 @@
                 unreachable++;
                 continue;
             }
-            tellOverwritten(document.get(), console);
+            warnOfOverwrittenEvents(document.get(), console);
             events.addAll(document.get().events());
         }
         print(events, console);
@@ -82,7 +82,7 @@
                 .forEach(console.out()::println);
     }
 
-    private static void tellOverwritten(TimelineDocument document, Console console) {
+    private static void warnOfOverwrittenEvents(TimelineDocument document, Console console) {
         if (document.overwritten() != 0) {
             console.err()
                     .println("coppershelf: VM " + document.vm() + " keeps no events before "
--- a/coppershelf/src/main/java/io/coppershelf/cli/UsageException.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/UsageException.java
@@ -1,6 +1,6 @@
 package io.coppershelf.cli;
 
-/** The words of the command line make no sense. */
+/** Thrown if the command line is not valid. */
 final class UsageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/DaemonAddress.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/DaemonAddress.java
@@ -8,26 +8,26 @@
 /**
  * The operator address of a daemon.
  *
- * @param host its IP number
+ * @param host its IP address
  * @param port its operator port
  */
 public record DaemonAddress(String host, int port) {
     /**
-     * Reads an address of the form {@code HOST:PORT}.
+     * Parses an address of the form {@code HOST:PORT}.
      *
      * @throws IllegalArgumentException if the text has another form
      */
     public static DaemonAddress parse(String text) {
         try {
-            HostAndPort parts = HostAndPort.fromString(text.strip());
-            return new DaemonAddress(parts.getHost(), parts.getPort());
+            HostAndPort hostAndPort = HostAndPort.fromString(text.strip());
+            return new DaemonAddress(hostAndPort.getHost(), hostAndPort.getPort());
         } catch (IllegalArgumentException | IllegalStateException e) {
             throw new IllegalArgumentException("address must be HOST:PORT, but is \"" + text + "\"", e);
         }
     }
 
     /**
-     * Reads addresses that are separated by commas.
+     * Parses addresses that are separated by commas.
      *
      * @throws IllegalArgumentException if one of them has another form
      */
@@ -38,7 +38,7 @@
                 .toList();
     }
 
-    /** Returns the address of a page. */
+    /** Returns the URI of a page. */
     URI page(String path) {
         return URI.create("http://" + HostAndPort.fromParts(host, port) + path);
     }
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/EventFilter.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/EventFilter.java
@@ -5,7 +5,7 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses events of the time line; an empty text or a zero chooses all.
+ * Selects events of the timeline; an empty text or zero selects all.
  *
  * @param service the service that an event must concern
  * @param server the backend server that an event must concern
@@ -16,13 +16,13 @@
         implements Predicate<Timeline.Event> {
     @Override
     public boolean test(Timeline.Event event) {
-        return isChosen(service, event.service())
-                && isChosen(server, event.server())
-                && isChosen(request, event.request())
+        return matches(service, event.service())
+                && matches(server, event.server())
+                && matches(request, event.request())
                 && (ticket == 0 || event.ticket().equals(Optional.of(ticket)));
     }
 
-    private static boolean isChosen(String wanted, Optional<String> found) {
-        return wanted.isEmpty() || found.equals(Optional.of(wanted));
+    private static boolean matches(String required, Optional<String> actual) {
+        return required.isEmpty() || actual.equals(Optional.of(required));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/EventLine.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/EventLine.java
@@ -7,7 +7,7 @@
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
 
-/** Writes an event of the time line as one line of text. */
+/** Formats an event of the timeline as one line of text. */
 public final class EventLine {
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("uuuu-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
@@ -15,7 +15,7 @@
 
     private EventLine() {}
 
-    /** Returns the line: time, counter of the clock, VM, part, text and what the event concerns. */
+    /** Returns the line: time, counter of the clock, VM, component, text and what the event concerns. */
     public static String of(StampedEvent stamped) {
         Timeline.Event event = stamped.event();
         StringBuilder line = new StringBuilder();
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetDiscovery.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetDiscovery.java
@@ -7,14 +7,17 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Finds the daemons of a fleet from some of them. */
+/** Discovers the daemons of a fleet from some of them. */
 public final class FleetDiscovery {
     private FleetDiscovery() {}
 
-    /** Returns the given daemons and all that the first of them which answers counts as live. */
-    public static List<DaemonAddress> expand(List<DaemonAddress> known, OperatorClient client) {
-        Set<DaemonAddress> all = new LinkedHashSet<>(known);
-        known.stream()
+    /**
+     * Returns the given daemons and the live daemons that one of them reports: the first one, in the given order, that
+     * answers.
+     */
+    public static List<DaemonAddress> expand(List<DaemonAddress> daemons, OperatorClient client) {
+        Set<DaemonAddress> all = new LinkedHashSet<>(daemons);
+        daemons.stream()
                 .map(daemon -> client.fetch(daemon, "/fleet"))
                 .flatMap(Optional::stream)
                 .findFirst()
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetReport.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetReport.java
@@ -11,15 +11,15 @@
 import java.util.TreeSet;
 
 /**
- * The status of a fleet, put together from one daemon and the owners of the server groups that it names.
+ * The status of a fleet, combined from one daemon and the owners of the server groups that it names.
  *
- * @param status the status document of the daemon that was asked
+ * @param status the status document of the daemon that was queried
  * @param services the services
- * @param unreachable the owners that gave no answer
+ * @param unreachable the owners that did not answer
  */
 public record FleetReport(JsonNode status, List<ServiceReport> services, List<DaemonAddress> unreachable) {
     /**
-     * Collects the status; empty if the daemon gives no answer.
+     * Collects the status; empty if the daemon does not answer.
      *
      * @param service the service to show, empty text for all
      */
@@ -73,11 +73,11 @@
     private static ServerReport server(JsonNode configured, Map<String, JsonNode> servers) {
         String name = configured.path("server").asText();
         String dataCentre = configured.path("dataCentre").asText();
-        Optional<JsonNode> known = Optional.ofNullable(servers.get(name));
-        if (known.isEmpty()) {
+        Optional<JsonNode> reported = Optional.ofNullable(servers.get(name));
+        if (reported.isEmpty()) {
             return new ServerReport(name, dataCentre, ServerReport.UNKNOWN, "its owner does not tell of it", 0, 0);
         }
-        JsonNode server = known.get();
+        JsonNode server = reported.get();
         return new ServerReport(
                 name,
                 dataCentre,
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/LogLine.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/LogLine.java
@@ -17,7 +17,7 @@
         this.fields = fields;
     }
 
-    /** Returns the line, empty if the text holds none; what stands before the first brace is passed over. */
+    /** Parses a line; empty if the text is not a line of the log. Text before the first brace is ignored. */
     public static Optional<LogLine> parse(String text) {
         int start = text.indexOf('{');
         if (start < 0) {
@@ -28,7 +28,7 @@
             boolean isLine = node.path("event").isTextual() && node.path("at").isIntegralNumber();
             return isLine ? Optional.of(new LogLine(node)) : Optional.empty();
         } catch (JsonProcessingException e) {
-            // Lines of other writers stand between those of the log.
+            // The file may also contain lines of other programs.
             return Optional.empty();
         }
     }
@@ -53,7 +53,7 @@
         return fields.toString();
     }
 
-    /** Returns the line for people to read. */
+    /** Returns the line in human-readable form. */
     public String text() {
         StringJoiner text = new StringJoiner(" ");
         text.add(Instant.ofEpochMilli(atMillis()).toString()).add(field("vm")).add(event());
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/OperatorClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/OperatorClient.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Asks daemons over their operator ports. */
+/** Queries daemons through their operator ports. */
 public final class OperatorClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
     private static final int OK = 200;
@@ -26,21 +26,24 @@
             .connectTimeout(TIMEOUT)
             .build();
 
-    /** Returns the page of one daemon, empty if it gives none. */
+    /** Fetches a page of one daemon; empty if it can't be read. */
     public Optional<JsonNode> fetch(DaemonAddress daemon, String path) {
-        return askAsync(daemon, path).join();
+        return fetchAsync(daemon, path).join();
     }
 
-    /** Asks all daemons at once; the answers stand in the order of the daemons, empty for those that give none. */
+    /**
+     * Fetches a page of all daemons concurrently; the answers are in the order of the daemons, empty for pages that
+     * can't be read.
+     */
     public Map<DaemonAddress, Optional<JsonNode>> fetchAll(Collection<DaemonAddress> daemons, String path) {
-        Map<DaemonAddress, CompletableFuture<Optional<JsonNode>>> asked = new LinkedHashMap<>();
-        daemons.forEach(daemon -> asked.put(daemon, askAsync(daemon, path)));
+        Map<DaemonAddress, CompletableFuture<Optional<JsonNode>>> pending = new LinkedHashMap<>();
+        daemons.forEach(daemon -> pending.put(daemon, fetchAsync(daemon, path)));
         Map<DaemonAddress, Optional<JsonNode>> answers = new LinkedHashMap<>();
-        asked.forEach((daemon, answer) -> answers.put(daemon, answer.join()));
+        pending.forEach((daemon, answer) -> answers.put(daemon, answer.join()));
         return answers;
     }
 
-    private CompletableFuture<Optional<JsonNode>> askAsync(DaemonAddress daemon, String path) {
+    private CompletableFuture<Optional<JsonNode>> fetchAsync(DaemonAddress daemon, String path) {
         HttpRequest request =
                 HttpRequest.newBuilder(daemon.page(path)).timeout(TIMEOUT).build();
         return client.sendAsync(request, BodyHandlers.ofString())
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/RequestTrace.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/RequestTrace.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Picks the lines that explain a request: its own, and what was believed of its servers around it. */
+/** Selects the log lines that explain a request: its own, and those on the state of its servers around that time. */
 public final class RequestTrace {
-    /** How long before and after a request a changed belief about its servers may explain it. */
-    private static final long SURROUNDING_MILLIS = 3000;
+    /** How long before and after a request a state change of one of its servers may explain it. */
+    private static final long CONTEXT_MILLIS = 3000;
 
     private RequestTrace() {}
 
@@ -22,20 +22,20 @@
         if (own.isEmpty()) {
             return List.of();
         }
-        long first = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow() - SURROUNDING_MILLIS;
-        long last = own.stream().mapToLong(LogLine::atMillis).max().orElseThrow() + SURROUNDING_MILLIS;
+        long firstMillis = own.stream().mapToLong(LogLine::atMillis).min().orElseThrow() - CONTEXT_MILLIS;
+        long lastMillis = own.stream().mapToLong(LogLine::atMillis).max().orElseThrow() + CONTEXT_MILLIS;
         String vm = own.get(0).field("vm");
         Set<String> servers = new TreeSet<>();
         own.forEach(line -> servers.add(line.field("server")));
         return lines.stream()
-                .filter(line -> line.atMillis() >= first && line.atMillis() <= last)
+                .filter(line -> line.atMillis() >= firstMillis && line.atMillis() <= lastMillis)
                 .filter(line -> line.field("request").equals(request)
-                        || (line.field("vm").equals(vm) && isAbout(line, servers)))
+                        || (line.field("vm").equals(vm) && concerns(line, servers)))
                 .sorted(Comparator.comparingLong(LogLine::atMillis))
                 .toList();
     }
 
-    private static boolean isAbout(LogLine line, Set<String> servers) {
+    private static boolean concerns(LogLine line, Set<String> servers) {
         return switch (line.event()) {
             case "server-suspected", "server-trusted" ->
                 servers.contains(line.field("server").replaceAll("@.*", ""));
@@ -48,9 +48,9 @@
         };
     }
 
-    /** Returns one sentence on the cause. */
-    public static String cause(String request, List<LogLine> story) {
-        Optional<LogLine> end = story.stream()
+    /** Returns one line that states how the request ended and why. */
+    public static String cause(String request, List<LogLine> trace) {
+        Optional<LogLine> end = trace.stream()
                 .filter(line -> line.field("request").equals(request))
                 .filter(line ->
                         line.event().equals("request-ended") || line.event().equals("request-refused"))
@@ -58,7 +58,7 @@
         if (end.isEmpty()) {
             return "cause: no line tells how the request ended; its VM was lost, or the line was dropped";
         }
-        Optional<LogLine> attempt = story.stream()
+        Optional<LogLine> attempt = trace.stream()
                 .filter(line -> line.event().equals("attempt-ended"))
                 .reduce((earlier, later) -> later);
         String last = attempt.map(line -> "; last attempt at " + line.field("server") + " ended " + line.field("end")
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/Table.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/Table.java
@@ -9,12 +9,12 @@
 
     private final List<List<String>> rows = new ArrayList<>();
 
-    /** Creates a table with the given heads of columns. */
-    public Table(String... heads) {
-        rows.add(List.of(heads));
+    /** Creates a table with the given column headers. */
+    public Table(String... headers) {
+        rows.add(List.of(headers));
     }
 
-    /** Adds a row with one cell a column. */
+    /** Adds a row with one cell per column. */
     public void add(String... cells) {
         rows.add(List.of(cells));
     }
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/package-info.java
@@ -1,2 +1,2 @@
-/** What the commands share: asking daemons, and laying out what they answer. */
+/** Shared code of the commands: queries to daemons and the layout of their answers. */
 package io.coppershelf.cli.internal;
--- a/coppershelf/src/main/java/io/coppershelf/cli/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line of coppershelf: one command a class, run by {@link io.coppershelf.cli.Main}. */
+/** The command line of coppershelf: one class per command, run by {@link io.coppershelf.cli.Main}. */
 package io.coppershelf.cli;
--- a/coppershelf/src/test/java/io/coppershelf/cli/CommandLineTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/cli/CommandLineTest.java
@@ -33,8 +33,8 @@
             status --at 127.0.0.1:1       | 4 | can't be reached
             timeline --at 127.0.0.1:1     | 4 | can't be reached
             """)
-    void tellsWhatIsWrongOnStandardErrorAndByItsExitCode(String words, int exitCode, String expected) throws Exception {
-        int result = console.run(words.split(" "));
+    void reportsErrorsOnStandardErrorAndByExitCode(String arguments, int exitCode, String expected) throws Exception {
+        int result = console.run(arguments.split(" "));
 
         assertThat(console.err()).contains(expected);
         assertThat(console.out()).isEmpty();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void tellsThatACommandIsMissing() throws Exception {
+    void reportsThatACommandIsMissing() throws Exception {
         assertThat(console.run()).isEqualTo(2);
         assertThat(console.err()).contains("a command is missing");
     }
@@ -55,8 +55,8 @@
         "status --help, HOST:PORT",
         "settings check -h, FILE"
     })
-    void printsHelpOnStandardOutput(String words, String expected) throws Exception {
-        assertThat(console.run(words.split(" "))).isEqualTo(0);
+    void printsHelpOnStandardOutput(String arguments, String expected) throws Exception {
+        assertThat(console.run(arguments.split(" "))).isEqualTo(0);
         assertThat(console.out()).contains(expected);
         assertThat(console.err()).isEmpty();
     }
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void reviewsTheWholeConfigurationOnRequest(@TempDir Path directory) throws Exception {
+    void checksTheWholeConfigurationWithTheWholeOption(@TempDir Path directory) throws Exception {
         Path file = write(directory, "1.json", """
                 {"ticket": 1, "services": {"a": {"floor": 1, "detectionWeight": 0.5}},
                  "servers": {"b-1": {"service": "b", "dataCentre": "d", "host": "127.0.0.1", "port": 1,
--- a/coppershelf/src/test/java/io/coppershelf/cli/DaemonCommandsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/cli/DaemonCommandsTest.java
@@ -42,11 +42,11 @@
     }
 
     @Test
-    void statusShowsServersAsTheirOwnersTell() throws Exception {
+    void statusShowsServersAsReportedByTheirOwners() throws Exception {
         String owner = daemon("/status", OWNER_STATUS);
-        String asked = daemon("/status", STATUS.replace("OWNER", owner));
+        String queried = daemon("/status", STATUS.replace("OWNER", owner));
 
-        assertThat(console.run("status", "--at", asked)).isEqualTo(0);
+        assertThat(console.run("status", "--at", queried)).isEqualTo(0);
 
         assertThat(console.out()).contains("VM a in herning, ready, ticket 7");
         assertThat(console.out()).contains("ALARM /services/rotavis/floor: must be less");
@@ -57,10 +57,10 @@
     }
 
     @Test
-    void statusTellsOfOwnersThatCannotBeReached() throws Exception {
-        String asked = daemon("/status", STATUS.replace("OWNER", CLOSED));
+    void statusReportsOwnersThatCannotBeReached() throws Exception {
+        String queried = daemon("/status", STATUS.replace("OWNER", CLOSED));
 
-        assertThat(console.run("status", "--json", "--at", asked)).isEqualTo(1);
+        assertThat(console.run("status", "--json", "--at", queried)).isEqualTo(1);
 
         assertThat(console.err()).contains("daemon 127.0.0.1:1 can't be reached");
         assertThat(console.out()).contains("\"unreachable\":[\"127.0.0.1:1\"]");
@@ -68,26 +68,26 @@
 
     @ParameterizedTest
     @CsvSource({"7, 00ff, 0, 0", "7, 00ff, 8, 1", "7, 00aa, 0, 1", "6, 00ff, 0, 1"})
-    void ticketsFailsUnlessAllDaemonsAgreeAndHoldTheTicket(long number, String digest, long wanted, int exitCode)
+    void ticketsFailsUnlessAllDaemonsAgreeAndHaveTheTicket(long number, String digest, long required, int exitCode)
             throws Exception {
         String first = daemon("/ticket", OWNER_STATUS);
         String second =
                 daemon("/ticket", "{\"ticket\": {\"number\": %d, \"digest\": \"%s\"}}".formatted(number, digest));
 
-        int result = console.run("tickets", "--ticket", "" + wanted, "--at", first + "," + second);
+        int result = console.run("tickets", "--ticket", "" + required, "--at", first + "," + second);
 
         assertThat(result).isEqualTo(exitCode);
         assertThat(console.out()).contains("2 of 2 daemons answered");
     }
 
     @Test
-    void ticketsAsksTheFleetThatADaemonKnows() throws Exception {
+    void ticketsQueriesTheFleetThatADaemonReports() throws Exception {
         String other = daemon("/", OWNER_STATUS);
-        String asked = daemon("/", STATUS.replace("OWNER", other));
+        String queried = daemon("/", STATUS.replace("OWNER", other));
 
-        assertThat(console.run("tickets", "--fleet", "--json", "--at", asked)).isEqualTo(0);
+        assertThat(console.run("tickets", "--fleet", "--json", "--at", queried)).isEqualTo(0);
         assertThat(console.out()).contains(other);
-        assertThat(console.run("tickets", "--at", asked + "," + CLOSED)).isEqualTo(4);
+        assertThat(console.run("tickets", "--at", queried + "," + CLOSED)).isEqualTo(4);
     }
 
     @Test
@@ -108,7 +108,7 @@
 
     @ParameterizedTest
     @CsvSource({"--service, rotavis", "--server, rotavis-1", "--request, r-9", "--ticket, 7"})
-    void timelineChoosesEvents(String option, String value) throws Exception {
+    void timelineFiltersEvents(String option, String value) throws Exception {
         Event full = Event.of("health", "full")
                 .ofService("rotavis")
                 .ofServer("rotavis-1")
--- a/coppershelf/src/test/java/io/coppershelf/cli/TestConsole.java
+++ b/coppershelf/src/test/java/io/coppershelf/cli/TestConsole.java
@@ -4,15 +4,15 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** Runs commands and keeps what they write. */
+/** Runs commands and captures their output. */
 final class TestConsole {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    int run(String... words) throws InterruptedException {
+    int run(String... arguments) throws InterruptedException {
         out.reset();
         err.reset();
-        return CommandLine.run(words, new Console(printer(out), printer(err)));
+        return CommandLine.run(arguments, new Console(printStream(out), printStream(err)));
     }
 
     String out() {
@@ -23,7 +23,7 @@
         return err.toString(StandardCharsets.UTF_8);
     }
 
-    private static PrintStream printer(ByteArrayOutputStream bytes) {
+    private static PrintStream printStream(ByteArrayOutputStream bytes) {
         return new PrintStream(bytes, true, StandardCharsets.UTF_8);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/cli/internal/RequestTraceTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/cli/internal/RequestTraceTest.java
@@ -22,7 +22,7 @@
             .toList();
 
     @Test
-    void storyHoldsTheRequestAndWhatItsVmBelievedOfItsServers() {
+    void traceContainsTheRequestAndTheStateOfItsServersOnItsVm() {
         assertThat(RequestTrace.of("r", lines).stream().map(LogLine::atMillis).toList())
                 .containsExactly(1000L, 1300L, 1301L)
                 .inOrder();
@@ -36,13 +36,14 @@
     }
 
     @Test
-    void unknownRequestHasNoStory() {
+    void unknownRequestHasNoTrace() {
         assertThat(RequestTrace.of("other", lines)).isEmpty();
     }
 
     @Test
-    void requestWithoutAnEndIsTold() {
-        List<LogLine> cut = lines.subList(0, 4);
-        assertThat(RequestTrace.cause("r", RequestTrace.of("r", cut))).contains("no line tells how the request ended");
+    void requestWithoutAnEndIsReported() {
+        List<LogLine> withoutEnd = lines.subList(0, 4);
+        assertThat(RequestTrace.cause("r", RequestTrace.of("r", withoutEnd)))
+                .contains("no line tells how the request ended");
     }
 }
