--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendRequest.java
@@ -13,7 +13,7 @@
  * @param headers the caller's headers to forward, without hop-by-hop headers and those that coppershelf owns
  * @param body the complete body
  * @param deadlineNanos the monotonic time in nanoseconds after which an answer is too late
- * @param largestAnswer the largest answer body in bytes
+ * @param largestAnswer the maximum size of the answer's body, in bytes
  */
 public record BackendRequest(
         String attemptId,
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerMetrics.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerMetrics.java
@@ -36,7 +36,7 @@
         latency.labelValues(service).observe(latencyNanos / NANOS_PER_SECOND);
     }
 
-    /** Counts a request that was refused before it matched a route. */
+    /** Counts a request that was refused before it reached the pipeline. */
     void recordInvalid(ErrorKind error) {
         requests.labelValues("none", error.code()).inc();
     }
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/RequestTrace.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/RequestTrace.java
@@ -7,9 +7,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Selects the log lines that explain a request: its own, and those on the state of its servers around that time. */
+/**
+ * Selects the log lines that explain a request: its own, and those of its VM about its servers, the platform and the
+ * configuration around that time.
+ */
 public final class RequestTrace {
-    /** How long before and after a request a state change of one of its servers may explain it. */
+    /** How long before and after a request other lines of its VM may explain it. */
     private static final long CONTEXT_MILLIS = 3000;
 
     private RequestTrace() {}
