--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/BucketTree.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/BucketTree.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Digests of the configuration's buckets, put together in groups so that a difference is found in two steps. */
+/** Combines the digests of the configuration's buckets into groups, so that a difference is found in two steps. */
 final class BucketTree {
     static final int GROUPS = 32;
     private static final int BUCKETS_PER_GROUP = ConfigurationStore.BUCKETS / GROUPS;
@@ -25,10 +25,10 @@
     }
 
     /** Returns the groups whose digests differ. */
-    static List<Integer> differing(List<Long> mine, List<Long> theirs) {
+    static List<Integer> differing(List<Long> local, List<Long> remote) {
         List<Integer> groups = new ArrayList<>();
-        for (int group = 0; group < Math.min(mine.size(), theirs.size()); group++) {
-            if (!mine.get(group).equals(theirs.get(group))) {
+        for (int group = 0; group < Math.min(local.size(), remote.size()); group++) {
+            if (!local.get(group).equals(remote.get(group))) {
                 groups.add(group);
             }
         }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/ConflictAlarm.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/ConflictAlarm.java
@@ -7,10 +7,10 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** Tells operators, once for each number, that two tickets with different contents have the same number. */
+/** Alerts operators, once per number, that two tickets with different contents have the same number. */
 final class ConflictAlarm {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int NUMBERS_AT_MOST = 64;
+    private static final int MAX_NUMBERS = 64;
 
     private final SortedSet<Long> numbers = new TreeSet<>();
     private final Timeline timeline;
@@ -25,7 +25,7 @@
     }
 
     void raise(long number) {
-        if (numbers.size() >= NUMBERS_AT_MOST || !numbers.add(number)) {
+        if (numbers.size() >= MAX_NUMBERS || !numbers.add(number)) {
             return;
         }
         conflicts.set(numbers.size());
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/PendingPulls.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/PendingPulls.java
@@ -6,44 +6,47 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The tickets that this VM has heard of and fetches, each from one peer at a time. */
+/** The announced tickets that this VM is pulling, each from one peer at a time. */
 final class PendingPulls {
-    private static final int PULLS_AT_MOST = 256;
-    private static final int SOURCES_AT_MOST = 8;
+    private static final int MAX_PULLS = 256;
+    private static final int MAX_OTHER_SOURCES = 8;
 
-    private final Map<TicketKey, Deque<String>> sources = new HashMap<>();
+    private final Map<TicketKey, Deque<String>> otherSources = new HashMap<>();
 
-    /** Returns whether the ticket is to be pulled from the peer now; else the peer is kept as another source. */
+    /**
+     * Returns whether to pull the ticket from the peer now; if a pull is in progress, the peer is kept as another
+     * source.
+     */
     boolean begin(TicketKey key, String peer) {
-        Deque<String> others = sources.get(key);
+        Deque<String> others = otherSources.get(key);
         if (others != null) {
-            if (others.size() < SOURCES_AT_MOST) {
+            if (others.size() < MAX_OTHER_SOURCES) {
                 others.addLast(peer);
             }
             return false;
         }
-        if (sources.size() >= PULLS_AT_MOST) {
+        if (otherSources.size() >= MAX_PULLS) {
             return false;
         }
-        sources.put(key, new ArrayDeque<>());
+        otherSources.put(key, new ArrayDeque<>());
         return true;
     }
 
-    /** Returns the peer to try next after a failure, empty if none is left. */
+    /** Returns the peer to pull from after a failure; ends the pull and returns empty if none is left. */
     Optional<String> nextSource(TicketKey key) {
-        Deque<String> others = sources.getOrDefault(key, new ArrayDeque<>());
+        Deque<String> others = otherSources.getOrDefault(key, new ArrayDeque<>());
         Optional<String> next = Optional.ofNullable(others.pollFirst());
         if (next.isEmpty()) {
-            sources.remove(key);
+            otherSources.remove(key);
         }
         return next;
     }
 
     boolean isEmpty() {
-        return sources.isEmpty();
+        return otherSources.isEmpty();
     }
 
     void end(TicketKey key) {
-        sources.remove(key);
+        otherSources.remove(key);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/PlatformWatch.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/PlatformWatch.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides when this VM reads the platform: a few VMs of each data centre wait for new tickets; the others read once at
- * their start, and stand in when nobody is heard to reach the platform.
+ * Decides when this VM reads the platform. A few VMs of each data centre watch it for new tickets. The others read it
+ * once when they start, and again only when no VM is known to reach the platform.
  */
 final class PlatformWatch {
-    private static final Duration WATCH_WAIT = Duration.ofSeconds(2);
-    private static final long READ_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(20);
-    private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final long WHOLE_READ_NANOS = TimeUnit.MINUTES.toNanos(5);
-    private static final long SHORTEST_STAND_IN_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final long STAND_IN_NANOS_PER_VM = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(2);
+    private static final long READ_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
+    private static final long RETRY_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long FULL_READ_INTERVAL_NANOS = TimeUnit.MINUTES.toNanos(5);
+    private static final long MIN_FALLBACK_READ_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long FALLBACK_READ_INTERVAL_NANOS_PER_VM = TimeUnit.MILLISECONDS.toNanos(50);
     private static final long REPAIR_ROUNDS_UNTIL_STALE = 8;
 
     private final Random random;
@@ -24,105 +24,105 @@
     private boolean isReading;
     private boolean hasRead;
     private boolean hasMore;
-    private boolean hasTried;
-    private long readBeganNanos;
+    private boolean hasAttemptedRead;
+    private long readStartNanos;
     private long nextReadNanos;
-    private long freshestNanos;
-    private long wholeReadNanos;
+    private long latestAnswerNanos;
+    private long lastFullReadNanos;
 
     PlatformWatch(Random random, long nowNanos) {
         this.random = random;
         nextReadNanos = nowNanos;
-        freshestNanos = nowNanos;
-        wholeReadNanos = nowNanos;
+        latestAnswerNanos = nowNanos;
+        lastFullReadNanos = nowNanos;
     }
 
-    /** Returns whether this VM has read all that the platform had. */
+    /** Returns whether the platform has answered a read of this VM. */
     boolean hasRead() {
         return hasRead;
     }
 
-    /** Returns whether a read has ended, well or not. */
+    /** Returns whether a read has ended, with an answer or not. */
     boolean hasAttemptedRead() {
-        return hasTried;
+        return hasAttemptedRead;
     }
 
-    /** Returns how long ago any VM heard of had an answer, in milliseconds. */
+    /** Returns the age of the latest platform answer to any VM that this one knows of, in milliseconds. */
     long ageMillis(long nowNanos) {
-        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, nowNanos - freshestNanos));
+        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, nowNanos - latestAnswerNanos));
     }
 
-    /** Takes in how long ago the sender of a message knows of an answer. */
+    /** Records the age of the latest platform answer that a peer reported. */
     void recordReportedAge(long ageMillis, long nowNanos) {
-        long bounded = Math.max(0, Math.min(ageMillis, TimeUnit.DAYS.toMillis(1)));
-        freshestNanos = Math.max(freshestNanos, nowNanos - TimeUnit.MILLISECONDS.toNanos(bounded));
+        long cappedMillis = Math.max(0, Math.min(ageMillis, TimeUnit.DAYS.toMillis(1)));
+        latestAnswerNanos = Math.max(latestAnswerNanos, nowNanos - TimeUnit.MILLISECONDS.toNanos(cappedMillis));
     }
 
     /**
-     * Returns the read to begin now.
+     * Returns the read to start now, empty if none is due.
      *
-     * @param isWatcher whether this VM is one of those that watch
+     * @param isWatcher whether this VM is one of those that watch the platform
      * @param fleetSize the number of live VMs
-     * @param repairNanos the time between two repairs of a VM
+     * @param repairIntervalNanos the interval between two repairs of a VM
      */
-    Optional<ReadPlatform> nextRead(boolean isWatcher, int fleetSize, long repairNanos, long nowNanos) {
-        boolean isUnderWay = isReading && nowNanos - readBeganNanos < READ_LIMIT_NANOS;
-        if (isUnderWay || nowNanos - nextReadNanos < 0) {
+    Optional<ReadPlatform> nextRead(boolean isWatcher, int fleetSize, long repairIntervalNanos, long nowNanos) {
+        boolean isInProgress = isReading && nowNanos - readStartNanos < READ_TIMEOUT_NANOS;
+        if (isInProgress || nowNanos - nextReadNanos < 0) {
             return Optional.empty();
         }
         if (!hasRead || hasMore) {
-            return Optional.of(begin(position, Duration.ZERO, nowNanos));
+            return Optional.of(startRead(position, Duration.ZERO, nowNanos));
         }
         if (isWatcher) {
             return Optional.of(watch(nowNanos));
         }
-        if (nowNanos - freshestNanos < REPAIR_ROUNDS_UNTIL_STALE * repairNanos) {
+        if (nowNanos - latestAnswerNanos < REPAIR_ROUNDS_UNTIL_STALE * repairIntervalNanos) {
             return Optional.empty();
         }
-        long interval = Math.max(SHORTEST_STAND_IN_NANOS, STAND_IN_NANOS_PER_VM * fleetSize);
+        long interval = Math.max(MIN_FALLBACK_READ_INTERVAL_NANOS, FALLBACK_READ_INTERVAL_NANOS_PER_VM * fleetSize);
         nextReadNanos = nowNanos + interval / 2 + random.nextLong(interval);
-        return Optional.of(begin(position, Duration.ZERO, nowNanos));
+        return Optional.of(startRead(position, Duration.ZERO, nowNanos));
     }
 
     /**
-     * Takes in an answer. One that moves the position may be followed by more. A position below the one reached tells
-     * of a stale or restored platform and is taken over. A platform that answers at once though nothing is new is not
-     * asked again at once.
+     * Records an answer. An answer that moves the position may be followed by more. A position below the current one
+     * comes from a stale or restored platform and is adopted. After an immediate answer without anything new, the next
+     * read waits for the retry delay.
      */
     void recordAnswer(long newPosition, boolean isNew, long nowNanos) {
-        ended();
-        boolean isAtOnce = !isNew && nowNanos - readBeganNanos < RETRY_NANOS;
-        if (isAtOnce || newPosition < position) {
-            nextReadNanos = Math.max(nextReadNanos, nowNanos + RETRY_NANOS);
+        finishRead();
+        boolean isImmediate = !isNew && nowNanos - readStartNanos < RETRY_DELAY_NANOS;
+        if (isImmediate || newPosition < position) {
+            nextReadNanos = Math.max(nextReadNanos, nowNanos + RETRY_DELAY_NANOS);
         }
         hasRead = true;
         position = newPosition;
-        freshestNanos = Math.max(freshestNanos, nowNanos);
+        latestAnswerNanos = Math.max(latestAnswerNanos, nowNanos);
     }
 
-    /** Takes in that there was no answer. */
+    /** Records that a read failed. */
     void recordFailure(long nowNanos) {
-        ended();
+        finishRead();
         hasMore = false;
-        nextReadNanos = Math.max(nextReadNanos, nowNanos + RETRY_NANOS / 2 + random.nextLong(RETRY_NANOS));
+        nextReadNanos = Math.max(nextReadNanos, nowNanos + RETRY_DELAY_NANOS / 2 + random.nextLong(RETRY_DELAY_NANOS));
     }
 
-    private void ended() {
+    private void finishRead() {
         isReading = false;
-        hasTried = true;
+        hasAttemptedRead = true;
     }
 
     private ReadPlatform watch(long nowNanos) {
-        if (nowNanos - wholeReadNanos >= WHOLE_READ_NANOS) {
-            wholeReadNanos = nowNanos;
-            return begin(0, Duration.ZERO, nowNanos);
+        if (nowNanos - lastFullReadNanos >= FULL_READ_INTERVAL_NANOS) {
+            lastFullReadNanos = nowNanos;
+            return startRead(0, Duration.ZERO, nowNanos);
         }
-        return begin(position, WATCH_WAIT, nowNanos);
+        return startRead(position, WATCH_TIMEOUT, nowNanos);
     }
 
-    private ReadPlatform begin(long from, Duration watchTime, long nowNanos) {
+    private ReadPlatform startRead(long from, Duration watchTime, long nowNanos) {
         isReading = true;
-        readBeganNanos = nowNanos;
+        readStartNanos = nowNanos;
         return new ReadPlatform(from, watchTime);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/ReadinessGate.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/ReadinessGate.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * Decides when a VM that starts may serve: after it has taken over the state of a peer that serves, and has at least
- * tried to read the platform; or, if no peer serves, with an answer of the platform alone.
+ * Decides when a starting VM may serve: once it has synchronized with a serving peer and has attempted to read the
+ * platform or, if no peer serves, once the platform has answered.
  */
 final class ReadinessGate {
-    private static final int IDLE_PEERS_ENOUGH = 64;
+    private static final int MAX_REQUIRED_IDLE_PEERS = 64;
 
     private final Set<String> idlePeers = new HashSet<>();
     private boolean isSynchronized;
@@ -21,12 +21,12 @@
         return isReady;
     }
 
-    /** The configuration of a peer that serves has been taken over. */
+    /** Records that this VM has the configuration of a serving peer. */
     void markSynchronized() {
         isSynchronized = true;
     }
 
-    /** A peer told whether it serves; the state of one that does has to be taken over first. */
+    /** Records whether a peer serves. As long as one does, this VM has to synchronize with it before it serves. */
     void recordPeer(String peer, boolean isServing) {
         if (isReady) {
             return;
@@ -38,12 +38,12 @@
         }
     }
 
-    /** Returns whether the peer said that it does not serve, or whether it does not matter any more. */
+    /** Returns whether the peer reported that it doesn't serve; always true once this VM is ready. */
     boolean isKnownIdle(String peer) {
         return isReady || idlePeers.contains(peer);
     }
 
-    /** Returns why this VM may serve from now on, once. */
+    /** Opens the gate and returns the reason if this VM may serve from now on; empty at all other times. */
     Optional<String> open(FleetView view, PlatformWatch watch, boolean mayHavePeers) {
         Optional<String> reason = isReady ? Optional.empty() : reason(view, watch, mayHavePeers);
         isReady |= reason.isPresent();
@@ -65,6 +65,6 @@
 
     private boolean noPeerServes(FleetView view) {
         long idle = view.vms().stream().map(Vm::id).filter(idlePeers::contains).count();
-        return idle >= Math.min(view.vms().size() - 1, IDLE_PEERS_ENOUGH);
+        return idle >= Math.min(view.vms().size() - 1, MAX_REQUIRED_IDLE_PEERS);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RecentTickets.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RecentTickets.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The tickets seen lately, and the documents of the latest for peers that pull them. */
+/** The keys of recently seen tickets, and the documents of the latest ones for peers that pull them. */
 final class RecentTickets {
-    private static final int KEYS_AT_MOST = 4096;
-    private static final long DOCUMENT_BYTES_AT_MOST = 4 * 1024 * 1024;
+    private static final int MAX_KEYS = 4096;
+    private static final long MAX_DOCUMENT_BYTES = 4 * 1024 * 1024;
 
     private final Set<TicketKey> keys = new LinkedHashSet<>();
     private final Map<TicketKey, byte[]> documents = new LinkedHashMap<>();
@@ -28,13 +28,13 @@
         if (!keys.add(key)) {
             return false;
         }
-        if (keys.size() > KEYS_AT_MOST) {
+        if (keys.size() > MAX_KEYS) {
             keys.remove(keys.iterator().next());
         }
         byte[] document = TicketDocument.write(ticket).getBytes(StandardCharsets.UTF_8);
         documents.put(key, document);
         documentBytes += document.length;
-        while (documentBytes > DOCUMENT_BYTES_AT_MOST) {
+        while (documentBytes > MAX_DOCUMENT_BYTES) {
             TicketKey eldest = documents.keySet().iterator().next();
             documentBytes -= documents.remove(eldest).length;
         }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RepairSession.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RepairSession.java
@@ -10,19 +10,22 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One comparison with one peer: groups of buckets, then buckets, then the objects of those that differ. */
+/**
+ * One repair from one peer: compares the digests of bucket groups, then those of buckets, then fetches the objects of
+ * the buckets that differ.
+ */
 final class RepairSession {
-    private static final int BUCKETS_PER_REQUEST = 32;
+    private static final int MAX_BUCKETS_PER_REQUEST = 32;
 
     private final Vm peer;
     private final boolean isServing;
-    private final Deque<Integer> buckets = new ArrayDeque<>();
+    private final Deque<Integer> differingBuckets = new ArrayDeque<>();
 
     /**
      * Creates a session.
      *
-     * @param peer the VM from which objects are taken
-     * @param isServing whether it serves
+     * @param peer the VM from which objects are fetched
+     * @param isServing whether the peer serves
      */
     RepairSession(Vm peer, boolean isServing) {
         this.peer = peer;
@@ -37,26 +40,29 @@
         return isServing;
     }
 
-    /** Returns the first question, empty if no group differs. */
+    /** Returns the first request, empty if no group differs. */
     Optional<RequestBuckets> start(List<Integer> differingGroups) {
         return differingGroups.isEmpty() ? Optional.empty() : Optional.of(new RequestBuckets(peer, differingGroups));
     }
 
-    /** Takes the digests of the peer's buckets and returns the next question, empty if there is none. */
-    Optional<RequestVersions> compare(long[] mine, Map<Integer, Long> theirs) {
-        theirs.forEach((bucket, digest) -> {
-            if (bucket >= 0 && bucket < mine.length && mine[bucket] != digest) {
-                buckets.addLast(bucket);
+    /**
+     * Compares the digests of the peer's buckets with the local ones and returns the next request, empty if no bucket
+     * differs.
+     */
+    Optional<RequestVersions> compare(long[] local, Map<Integer, Long> remote) {
+        remote.forEach((bucket, digest) -> {
+            if (bucket >= 0 && bucket < local.length && local[bucket] != digest) {
+                differingBuckets.addLast(bucket);
             }
         });
         return next();
     }
 
-    /** Returns the next question, empty if all differing buckets are done. */
+    /** Returns the next request, empty if all differing buckets have been requested. */
     Optional<RequestVersions> next() {
         List<Integer> chosen = new ArrayList<>();
-        while (chosen.size() < BUCKETS_PER_REQUEST && !buckets.isEmpty()) {
-            chosen.add(buckets.pollFirst());
+        while (chosen.size() < MAX_BUCKETS_PER_REQUEST && !differingBuckets.isEmpty()) {
+            chosen.add(differingBuckets.pollFirst());
         }
         return chosen.isEmpty() ? Optional.empty() : Optional.of(new RequestVersions(peer, chosen));
     }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RumorList.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RumorList.java
@@ -15,16 +15,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The tickets that this VM still announces. A rumour ends when enough peers knew it already.
+ * The tickets that this VM announces by rumor mongering: each to a few random peers a round, until enough peers already
+ * had it.
  *
  * @see <a href="https://doi.org/10.1145/41840.41841">Demers et al., Epidemic Algorithms for Replicated Database
  *     Maintenance, 1987</a>
  */
 final class RumorList {
     private static final int FAN_OUT = 3;
-    private static final int KNOWN_ANSWERS_TO_END = 3;
-    private static final int RUMORS_AT_MOST = 64;
-    private static final long LIFE_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final int KNOWN_REPLIES_TO_END = 3;
+    private static final int MAX_RUMORS = 64;
+    private static final long RUMOR_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final Map<TicketKey, Rumor> rumors = new LinkedHashMap<>();
     private final Random random;
@@ -33,55 +34,55 @@
         this.random = random;
     }
 
-    /** Begins to announce a ticket; if there are too many, repair carries it. */
+    /** Starts to announce a ticket. If too many are being announced, repair distributes it instead. */
     void begin(TicketKey key, Optional<String> source, long nowNanos) {
-        if (rumors.size() < RUMORS_AT_MOST) {
+        if (rumors.size() < MAX_RUMORS) {
             Rumor rumor = new Rumor(nowNanos);
-            source.ifPresent(rumor.told::add);
+            source.ifPresent(rumor.notified::add);
             rumors.putIfAbsent(key, rumor);
         }
     }
 
-    /** Takes note that the peer has the ticket without this VM's doing. */
+    /** Records that the peer has received the ticket from elsewhere. */
     void recordKnownBy(String peer, TicketKey key) {
         Rumor rumor = rumors.get(key);
         if (rumor != null) {
-            rumor.told.add(peer);
+            rumor.notified.add(peer);
         }
     }
 
     void recordReply(TicketKey key, boolean wasKnown) {
         Rumor rumor = rumors.get(key);
-        if (rumor != null && wasKnown && ++rumor.knownAnswers >= KNOWN_ANSWERS_TO_END) {
+        if (rumor != null && wasKnown && ++rumor.knownReplies >= KNOWN_REPLIES_TO_END) {
             rumors.remove(key);
         }
     }
 
-    /** Allows another try. */
+    /** Makes the target eligible again after a failed announcement. */
     void recordFailure(String target, TicketKey key) {
         Rumor rumor = rumors.get(key);
         if (rumor != null) {
-            rumor.told.remove(target);
+            rumor.notified.remove(target);
         }
     }
 
-    /** Returns the announcements due now, to a few peers for each ticket. */
+    /** Returns the announcements to send now, to a few peers per ticket. */
     List<Announce> announcements(FleetView view, long nowNanos) {
-        rumors.values().removeIf(rumor -> nowNanos - rumor.beganNanos >= LIFE_NANOS);
+        rumors.values().removeIf(rumor -> nowNanos - rumor.startNanos >= RUMOR_TIMEOUT_NANOS);
         List<Announce> due = new ArrayList<>();
         rumors.forEach((key, rumor) -> {
-            for (Vm target : chooseTargets(view, rumor.told)) {
-                rumor.told.add(target.id());
+            for (Vm target : chooseTargets(view, rumor.notified)) {
+                rumor.notified.add(target.id());
                 due.add(new Announce(target, key));
             }
         });
         return due;
     }
 
-    private List<Vm> chooseTargets(FleetView view, Set<String> told) {
+    private List<Vm> chooseTargets(FleetView view, Set<String> notified) {
         List<Vm> candidates = new ArrayList<>();
         for (Vm vm : view.vms()) {
-            if (!vm.id().equals(view.self().id()) && !told.contains(vm.id())) {
+            if (!vm.id().equals(view.self().id()) && !notified.contains(vm.id())) {
                 candidates.add(vm);
             }
         }
@@ -90,12 +91,12 @@
     }
 
     private static final class Rumor {
-        private final long beganNanos;
-        private final Set<String> told = new HashSet<>();
-        private int knownAnswers;
+        private final long startNanos;
+        private final Set<String> notified = new HashSet<>();
+        private int knownReplies;
 
-        Rumor(long beganNanos) {
-            this.beganNanos = beganNanos;
+        Rumor(long startNanos) {
+            this.startNanos = startNanos;
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadAction.java
@@ -5,32 +5,32 @@
 import java.util.List;
 import java.util.SortedSet;
 
-/** What the spread of tickets wants done. */
+/** An action of {@link TicketSpread}, to be executed by its driver. */
 sealed interface SpreadAction {
-    /** Read the platform's tickets above the position, waiting for one as long as given. */
+    /** Read the platform's tickets above the position, and wait for one for at most the watch time. */
     record ReadPlatform(long position, Duration watchTime) implements SpreadAction {}
 
-    /** Tell the VM that this one has the ticket. */
+    /** Announce to the VM that this one has the ticket. */
     record Announce(Vm target, TicketKey key) implements SpreadAction {}
 
-    /** Fetch the ticket from the VM. */
+    /** Pull the ticket from the VM. */
     record Pull(Vm target, TicketKey key) implements SpreadAction {}
 
-    /** Ask the VM to compare configurations. */
+    /** Request a comparison of configurations from the VM. */
     record RequestRepair(Vm target) implements SpreadAction {}
 
-    /** Ask the VM for the digests of the buckets in some groups. */
+    /** Request the digests of the buckets in some groups from the VM. */
     record RequestBuckets(Vm target, List<Integer> groups) implements SpreadAction {}
 
-    /** Ask the VM for its versions of the objects in some buckets. */
+    /** Request the versions of the objects in some buckets from the VM. */
     record RequestVersions(Vm target, List<Integer> buckets) implements SpreadAction {}
 
     /** Publish the configuration, which has changed; the numbers are those of the tickets that came into force. */
     record Publish(SortedSet<Long> numbers) implements SpreadAction {}
 
-    /** Alarm the operators: two contents exist under one number. */
+    /** Alert the operators that two contents exist under one number. */
     record AlarmConflict(long number) implements SpreadAction {}
 
-    /** This VM has asked the peers and the platform and may serve. */
+    /** Report that this VM may serve, and the reason. */
     record Ready(String reason) implements SpreadAction {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadDriver.java
@@ -37,13 +37,13 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** Carries out what {@link TicketSpread} wants, on the control thread; documents are read on other threads. */
+/** Executes the actions of {@link TicketSpread} on the control thread; documents are parsed on other threads. */
 public final class SpreadDriver {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final Duration JOIN_TIME = Duration.ofSeconds(3);
+    private static final Duration JOIN_DURATION = Duration.ofSeconds(3);
     private static final Duration REPLY_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration LONG_REPLY_TIMEOUT = Duration.ofSeconds(5);
-    private static final int EVENTS_AT_ONCE = 20;
+    private static final int MAX_TIMELINE_EVENTS_PER_PUBLISH = 20;
 
     private final ControlThread control;
     private final TimeSource time;
@@ -52,8 +52,8 @@
     private final Optional<Platform> platform;
     private final Timeline timeline;
     private final ConfigurationHolder holder;
-    private final TicketValidator refusals;
-    private final ConflictAlarm alarm;
+    private final TicketValidator validator;
+    private final ConflictAlarm conflictAlarm;
     private final TicketSpread spread;
     private volatile boolean isReady;
 
@@ -74,41 +74,41 @@
         this.exchange = exchange;
         this.platform = platform;
         this.timeline = timeline;
-        refusals = new TicketValidator(timeline, metrics);
-        alarm = new ConflictAlarm(timeline, metrics);
+        validator = new TicketValidator(timeline, metrics);
+        conflictAlarm = new ConflictAlarm(timeline, metrics);
         FleetView view = fleet.current();
         long seed = view.self().id().hashCode() ^ view.self().incarnation();
-        spread = new TicketSpread(view, JOIN_TIME.toNanos(), seed, time.nanos());
+        spread = new TicketSpread(view, JOIN_DURATION.toNanos(), seed, time.nanos());
     }
 
-    /** Registers the messages and begins to read and to compare. */
+    /** Registers the messages and starts to read the platform and to repair from peers. */
     public void start() {
         exchange.register(SpreadMessages.ANNOUNCEMENT_REPLY);
         exchange.register(SpreadMessages.PULL_REPLY);
         exchange.register(SpreadMessages.REPAIR_REPLY);
         exchange.register(SpreadMessages.BUCKETS_REPLY);
         exchange.register(SpreadMessages.VERSIONS_REPLY);
-        exchange.register(SpreadMessages.ANNOUNCEMENT, this::announced);
+        exchange.register(SpreadMessages.ANNOUNCEMENT, this::handleAnnouncement);
         exchange.register(
                 SpreadMessages.PULL_REQUEST,
                 (sender, request, replies) ->
                         control.execute(() -> replies.reply(new PullReply(spread.document(request.key())))));
-        exchange.register(SpreadMessages.REPAIR_REQUEST, this::repairAsked);
-        exchange.register(SpreadMessages.BUCKETS_REQUEST, this::bucketsAsked);
+        exchange.register(SpreadMessages.REPAIR_REQUEST, this::handleRepairRequest);
+        exchange.register(SpreadMessages.BUCKETS_REQUEST, this::handleBucketsRequest);
         exchange.register(
                 SpreadMessages.VERSIONS_REQUEST,
                 (sender, request, replies) -> control.execute(() -> replies.reply(
                         new VersionsReply(TicketExtracts.of(validBuckets(request.buckets()), spread::versions)))));
-        fleet.onChange(() -> on(new SpreadEvent.FleetChanged(fleet.current())));
-        control.every(Duration.ofMillis(TicketSpread.TICK_MILLIS), () -> on(new SpreadEvent.Tick()));
+        fleet.onChange(() -> handle(new SpreadEvent.FleetChanged(fleet.current())));
+        control.every(Duration.ofMillis(TicketSpread.TICK_MILLIS), () -> handle(new SpreadEvent.Tick()));
     }
 
-    /** Returns whether this VM has asked the peers and the platform; from any thread. */
+    /** Returns whether this VM has a configuration and may serve; safe to call from any thread. */
     public boolean isReady() {
         return isReady;
     }
 
-    private void on(SpreadEvent event) {
+    private void handle(SpreadEvent event) {
         spread.handle(event, time.nanos()).forEach(this::perform);
     }
 
@@ -119,43 +119,43 @@
             announce(announce.target(), announce.key());
         } else if (action instanceof SpreadAction.Pull pull) {
             pull(pull.target(), pull.key());
-        } else if (action instanceof SpreadAction.RequestRepair ask) {
-            askRepair(ask.target());
-        } else if (action instanceof SpreadAction.RequestBuckets ask) {
-            askBuckets(ask.target(), ask.groups());
-        } else if (action instanceof SpreadAction.RequestVersions ask) {
-            askVersions(ask.target(), ask.buckets());
+        } else if (action instanceof SpreadAction.RequestRepair repair) {
+            requestRepair(repair.target());
+        } else if (action instanceof SpreadAction.RequestBuckets buckets) {
+            requestBuckets(buckets.target(), buckets.groups());
+        } else if (action instanceof SpreadAction.RequestVersions versions) {
+            requestVersions(versions.target(), versions.buckets());
         } else if (action instanceof SpreadAction.Publish publish) {
             publish(publish.numbers());
         } else if (action instanceof SpreadAction.AlarmConflict conflict) {
-            alarm.raise(conflict.number());
+            conflictAlarm.raise(conflict.number());
         } else if (action instanceof SpreadAction.Ready ready) {
             isReady = true;
-            tell("Ready: " + ready.reason() + ".");
+            recordEvent("Ready: " + ready.reason() + ".");
         }
     }
 
     private void readPlatform(SpreadAction.ReadPlatform read) {
         if (platform.isEmpty()) {
-            on(new SpreadEvent.PlatformReadFailed());
+            handle(new SpreadEvent.PlatformReadFailed());
             return;
         }
         var unused = platform.get()
                 .tickets(read.position(), read.watchTime())
                 .handle((published, failure) -> failure == null
-                        ? platformRead(read.position(), published)
+                        ? toPlatformRead(read.position(), published)
                         : new SpreadEvent.PlatformReadFailed())
-                .thenAccept(event -> control.execute(() -> on(event)));
+                .thenAccept(event -> control.execute(() -> handle(event)));
     }
 
-    private SpreadEvent platformRead(long position, PublishedTickets published) {
-        List<Ticket> tickets = refusals.parseFromPlatform(published.documents());
+    private SpreadEvent toPlatformRead(long position, PublishedTickets published) {
+        List<Ticket> tickets = validator.parseFromPlatform(published.documents());
         return new SpreadEvent.PlatformRead(position, published.position(), tickets);
     }
 
     private void publish(SortedSet<Long> numbers) {
         holder.publish(spread.configuration());
-        int skipped = Math.max(0, numbers.size() - EVENTS_AT_ONCE);
+        int skipped = Math.max(0, numbers.size() - MAX_TIMELINE_EVENTS_PER_PUBLISH);
         numbers.stream().skip(skipped).forEach(number -> {
             String text = "Ticket " + number + " is in force.";
             logger.atInfo().log("[ticket] %s", text);
@@ -165,8 +165,8 @@
 
     private void announce(Vm target, TicketKey key) {
         request(target, new Announcement(key), REPLY_TIMEOUT, reply -> {
-            if (reply.orElse(null) instanceof AnnouncementReply answer) {
-                return new SpreadEvent.AnnouncementAcknowledged(target.id(), key, answer.wasKnown());
+            if (reply.orElse(null) instanceof AnnouncementReply announcementReply) {
+                return new SpreadEvent.AnnouncementAcknowledged(target.id(), key, announcementReply.wasKnown());
             }
             return new SpreadEvent.AnnouncementFailed(target.id(), key);
         });
@@ -175,80 +175,80 @@
     private void pull(Vm target, TicketKey key) {
         request(target, new PullRequest(key), LONG_REPLY_TIMEOUT, reply -> {
             Optional<byte[]> document =
-                    reply.orElse(null) instanceof PullReply answer ? answer.document() : Optional.empty();
-            Optional<Ticket> ticket = document.flatMap(bytes -> refusals.parseFromPeer(target.id(), key, bytes));
+                    reply.orElse(null) instanceof PullReply pullReply ? pullReply.document() : Optional.empty();
+            Optional<Ticket> ticket = document.flatMap(bytes -> validator.parseFromPeer(target.id(), key, bytes));
             return ticket.<SpreadEvent>map(pulled -> new SpreadEvent.Pulled(target.id(), pulled))
                     .orElseGet(() -> new SpreadEvent.PullFailed(key));
         });
     }
 
-    private void askRepair(Vm target) {
+    private void requestRepair(Vm target) {
         request(target, new RepairRequest(spread.summary(time.nanos())), REPLY_TIMEOUT, reply -> {
-            if (reply.orElse(null) instanceof RepairReply answer) {
-                return new SpreadEvent.RepairReplied(target.id(), answer.summary(), answer.groupDigests());
+            if (reply.orElse(null) instanceof RepairReply repairReply) {
+                return new SpreadEvent.RepairReplied(target.id(), repairReply.summary(), repairReply.groupDigests());
             }
             return new SpreadEvent.RepairFailed(target.id());
         });
     }
 
-    private void askBuckets(Vm target, List<Integer> groups) {
+    private void requestBuckets(Vm target, List<Integer> groups) {
         request(target, new BucketsRequest(groups), REPLY_TIMEOUT, reply -> {
-            if (!(reply.orElse(null) instanceof BucketsReply answer)) {
+            if (!(reply.orElse(null) instanceof BucketsReply bucketsReply)) {
                 return new SpreadEvent.RepairFailed(target.id());
             }
             TreeMap<Integer, Long> digests = new TreeMap<>();
-            answer.digests().forEach(bucket -> digests.put(bucket.bucket(), bucket.digest()));
+            bucketsReply.digests().forEach(bucket -> digests.put(bucket.bucket(), bucket.digest()));
             return new SpreadEvent.BucketsReceived(target.id(), digests);
         });
     }
 
-    private void askVersions(Vm target, List<Integer> buckets) {
+    private void requestVersions(Vm target, List<Integer> buckets) {
         request(target, new VersionsRequest(buckets), LONG_REPLY_TIMEOUT, reply -> {
-            if (!(reply.orElse(null) instanceof VersionsReply answer)) {
+            if (!(reply.orElse(null) instanceof VersionsReply versionsReply)) {
                 return new SpreadEvent.RepairFailed(target.id());
             }
             try {
                 List<ObjectVersion> versions = new ArrayList<>();
-                for (TicketExtract extract : answer.extracts()) {
+                for (TicketExtract extract : versionsReply.extracts()) {
                     versions.addAll(TicketExtracts.versions(extract));
                 }
                 return new SpreadEvent.VersionsReceived(target.id(), versions);
             } catch (CoppershelfException e) {
-                refusals.recordPeerRefusal(target.id(), e);
+                validator.recordPeerRefusal(target.id(), e);
                 return new SpreadEvent.RepairFailed(target.id());
             }
         });
     }
 
-    /** Sends a request; the reply is read on a traffic thread and handed on to the control thread as an event. */
+    /** Sends a request. The reply is read on a traffic thread and handled as an event on the control thread. */
     private void request(
-            Vm target, PeerMessage message, Duration timeout, Function<Optional<PeerMessage>, SpreadEvent> reader) {
+            Vm target, PeerMessage message, Duration timeout, Function<Optional<PeerMessage>, SpreadEvent> toEvent) {
         var unused = exchange.request(target, message, timeout)
                 .thenApply(reply -> reply instanceof PeerReply.Received received
                         ? Optional.of(received.message())
                         : Optional.<PeerMessage>empty())
-                .thenApply(reader)
-                .thenAccept(event -> control.execute(() -> on(event)));
+                .thenApply(toEvent)
+                .thenAccept(event -> control.execute(() -> handle(event)));
     }
 
-    private void announced(String sender, Announcement announcement, Replies replies) {
+    private void handleAnnouncement(String sender, Announcement announcement, Replies replies) {
         control.execute(() -> {
             replies.reply(new AnnouncementReply(spread.hasSeen(announcement.key())));
-            on(new SpreadEvent.AnnouncementReceived(sender, announcement.key()));
+            handle(new SpreadEvent.AnnouncementReceived(sender, announcement.key()));
         });
     }
 
-    private void repairAsked(String sender, RepairRequest request, Replies replies) {
+    private void handleRepairRequest(String sender, RepairRequest request, Replies replies) {
         control.execute(() -> {
-            Summary mine = spread.summary(time.nanos());
-            boolean isEqual = mine.digest() == request.summary().digest();
+            Summary local = spread.summary(time.nanos());
+            boolean isEqual = local.digest() == request.summary().digest();
             List<Long> groups = isEqual ? List.of() : BucketTree.groupDigests(spread.bucketDigests());
-            replies.reply(new RepairReply(mine, groups));
-            on(new SpreadEvent.RepairRequested(sender, request.summary()));
+            replies.reply(new RepairReply(local, groups));
+            handle(new SpreadEvent.RepairRequested(sender, request.summary()));
         });
     }
 
-    private void bucketsAsked(String sender, BucketsRequest request, Replies replies) {
+    private void handleBucketsRequest(String sender, BucketsRequest request, Replies replies) {
         control.execute(() -> {
             long[] digests = spread.bucketDigests();
             List<BucketDigest> chosen = request.groups().stream()
@@ -269,7 +269,7 @@
                 .toList();
     }
 
-    private void tell(String text) {
+    private void recordEvent(String text) {
         logger.atInfo().log("[ticket] %s", text);
         timeline.record(Timeline.Event.of("ticket", text));
     }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadMessages.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadMessages.java
@@ -103,44 +103,47 @@
         return new Summary(unpacker.unpackLong(), unpacker.unpackBoolean(), unpacker.unpackLong());
     }
 
-    /** Tells that the sender has a ticket. */
+    /** Announces that the sender has a ticket. */
     record Announcement(TicketKey key) implements PeerMessage {}
 
-    /** Tells whether the sender had the announced ticket already. */
+    /** Reports whether the sender already had the announced ticket. */
     record AnnouncementReply(boolean wasKnown) implements PeerMessage {}
 
-    /** Asks for a ticket. */
+    /** Requests a ticket. */
     record PullRequest(TicketKey key) implements PeerMessage {}
 
-    /** The JSON document of a ticket, empty if the sender does not keep it any more. */
+    /** The JSON document of a ticket, empty if the sender has discarded it. */
     record PullReply(Optional<byte[]> document) implements PeerMessage {}
 
-    /** Asks to compare configurations. */
+    /** Requests a comparison of configurations. */
     record RepairRequest(Summary summary) implements PeerMessage {}
 
     /** The digest of each group of buckets, none if the configurations are equal. */
     record RepairReply(Summary summary, List<Long> groupDigests) implements PeerMessage {}
 
-    /** Asks for the digests of the buckets in some groups. */
+    /** Requests the digests of the buckets in some groups. */
     record BucketsRequest(List<Integer> groups) implements PeerMessage {}
 
     /** The digests of some buckets. */
     record BucketsReply(List<BucketDigest> digests) implements PeerMessage {}
 
-    /** Asks for the versions of the objects in some buckets. */
+    /** Requests the versions of the objects in some buckets. */
     record VersionsRequest(List<Integer> buckets) implements PeerMessage {}
 
-    /** The versions of the objects in some buckets, those of one ticket together; some may be left for later. */
+    /**
+     * The versions of the objects in some buckets, grouped by ticket. Versions beyond the size limit are left for a
+     * later repair.
+     */
     record VersionsReply(List<TicketExtract> extracts) implements PeerMessage {}
 
     /** The digest of one bucket. */
     record BucketDigest(int bucket, long digest) {}
 
     /**
-     * Those objects of a ticket that a VM still holds.
+     * The objects of a ticket that are still in force on a VM.
      *
      * @param key the ticket
-     * @param document a JSON document of the form of a ticket with these objects
+     * @param document a JSON ticket document with these objects
      */
     record TicketExtract(TicketKey key, byte[] document) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketExtracts.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketExtracts.java
@@ -14,13 +14,13 @@
 import java.util.Map;
 import java.util.function.IntFunction;
 
-/** Turns object versions into documents for a peer, and back with the same checks as for a ticket. */
+/** Converts object versions to documents for a peer, and back with the same checks as for a ticket. */
 final class TicketExtracts {
-    private static final int REPLY_BYTES_AT_MOST = 2 * 1024 * 1024;
+    private static final int MAX_REPLY_BYTES = 2 * 1024 * 1024;
 
     private TicketExtracts() {}
 
-    /** Returns the versions of the buckets; those that do not fit are left out. */
+    /** Returns the versions of the buckets; buckets beyond the size limit of a reply are left out. */
     static List<TicketExtract> of(List<Integer> buckets, IntFunction<List<ObjectVersion>> versions) {
         List<TicketExtract> extracts = new ArrayList<>();
         long bytes = 0;
@@ -29,7 +29,7 @@
             bytes += ofBucket.stream()
                     .mapToLong(extract -> extract.document().length)
                     .sum();
-            if (bytes > REPLY_BYTES_AT_MOST && !extracts.isEmpty()) {
+            if (bytes > MAX_REPLY_BYTES && !extracts.isEmpty()) {
                 break;
             }
             extracts.addAll(ofBucket);
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketSpread.java
@@ -39,38 +39,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The decisions on the spread of tickets: an event and the time in, actions out. Not safe for use by several threads.
+ * State machine for the spread of tickets: handles one event at a time and returns the actions that its driver
+ * executes. Not thread-safe.
  *
- * <p>Each object keeps the version of the highest ticket number seen, so neither order nor repeats nor a stale source
- * can revert it.
+ * <p>Each object keeps the version of the highest ticket number seen, so reordered or repeated tickets and stale
+ * sources can't revert it.
  */
 final class TicketSpread {
     static final long TICK_MILLIS = 100;
     private static final int WATCHERS_PER_DATA_CENTRE = 2;
-    private static final int PEERS_ASKED_AT_START = 8;
-    private static final long SHORTEST_REPAIR_NANOS = TimeUnit.SECONDS.toNanos(2);
-    private static final long REPAIR_NANOS_PER_VM = TimeUnit.MICROSECONDS.toNanos(1350);
-    private static final long START_REPAIR_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-    private static final long SESSION_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final int REPAIR_PEERS_AT_START = 8;
+    private static final long MIN_REPAIR_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long REPAIR_INTERVAL_NANOS_PER_VM = TimeUnit.MICROSECONDS.toNanos(1350);
+    private static final long START_REPAIR_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long SESSION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final ConfigurationStore store = new ConfigurationStore();
-    private final RecentTickets recent = new RecentTickets();
+    private final RecentTickets recentTickets = new RecentTickets();
     private final ReadinessGate gate = new ReadinessGate();
     private final PendingPulls pulls = new PendingPulls();
     private final Random random;
     private final RumorList rumors;
     private final PlatformWatch watch;
-    private final long joinUntilNanos;
+    private final long joinDeadlineNanos;
     private FleetView view;
     private Optional<RepairSession> session = Optional.empty();
     private Optional<Vm> repairPeer = Optional.empty();
-    private long sessionBeganNanos;
+    private long sessionStartNanos;
     private long nextRepairNanos;
 
     /**
-     * Creates the decisions of a VM without configuration.
+     * Creates the state of a VM without a configuration.
      *
-     * @param joinNanos the time that peers may take to become known; until then an empty fleet view proves nothing
+     * @param joinNanos the time that the membership may take to discover peers; until then an empty fleet view doesn't
+     *     mean that there are none
      * @param seed the seed of all random choices
      */
     TicketSpread(FleetView view, long joinNanos, long seed, long nowNanos) {
@@ -78,7 +80,7 @@
         random = new Random(seed);
         rumors = new RumorList(random);
         watch = new PlatformWatch(random, nowNanos);
-        joinUntilNanos = nowNanos + joinNanos;
+        joinDeadlineNanos = nowNanos + joinNanos;
         nextRepairNanos = nowNanos;
     }
 
@@ -94,15 +96,15 @@
 
     /** Returns whether this VM has seen the ticket. */
     boolean hasSeen(TicketKey key) {
-        return recent.contains(key);
+        return recentTickets.contains(key);
     }
 
     /** Returns the JSON document of a ticket for a peer that pulls it. */
     Optional<byte[]> document(TicketKey key) {
-        return recent.document(key);
+        return recentTickets.document(key);
     }
 
-    /** Returns what this VM says of its configuration. */
+    /** Returns the summary of the configuration that this VM sends to peers. */
     Summary summary(long nowNanos) {
         return new Summary(configuration().digest(), gate.isReady(), watch.ageMillis(nowNanos));
     }
@@ -117,55 +119,56 @@
         return store.versions(bucket);
     }
 
-    /** Takes in one event. */
+    /** Handles one event and returns the actions to execute. */
     List<SpreadAction> handle(SpreadEvent event, long nowNanos) {
         List<SpreadAction> actions = new ArrayList<>();
         if (event instanceof Tick) {
-            tick(nowNanos, actions);
+            handleTick(nowNanos, actions);
         } else if (event instanceof FleetChanged changed) {
             view = changed.view();
         } else if (event instanceof PlatformRead read) {
-            platformRead(read, nowNanos, actions);
+            handlePlatformRead(read, nowNanos, actions);
         } else if (event instanceof PlatformReadFailed) {
             watch.recordFailure(nowNanos);
         } else {
-            peerEvent(event, nowNanos, actions);
+            handlePeerEvent(event, nowNanos, actions);
         }
-        gate.open(view, watch, nowNanos - joinUntilNanos < 0).ifPresent(reason -> actions.add(new Ready(reason)));
+        gate.open(view, watch, nowNanos - joinDeadlineNanos < 0).ifPresent(reason -> actions.add(new Ready(reason)));
         return actions;
     }
 
-    private void peerEvent(SpreadEvent event, long nowNanos, List<SpreadAction> actions) {
-        if (event instanceof AnnouncementReceived announced) {
-            announced(announced, actions);
-        } else if (event instanceof AnnouncementAcknowledged answered) {
-            rumors.recordReply(answered.key(), answered.wasKnown());
+    private void handlePeerEvent(SpreadEvent event, long nowNanos, List<SpreadAction> actions) {
+        if (event instanceof AnnouncementReceived announcement) {
+            handleAnnouncement(announcement, actions);
+        } else if (event instanceof AnnouncementAcknowledged acknowledged) {
+            rumors.recordReply(acknowledged.key(), acknowledged.wasKnown());
         } else if (event instanceof AnnouncementFailed failed) {
             rumors.recordFailure(failed.target(), failed.key());
         } else if (event instanceof Pulled pulled) {
-            pulled(pulled, nowNanos, actions);
+            handlePulled(pulled, nowNanos, actions);
         } else if (event instanceof PullFailed failed) {
             pullFromNext(failed.key(), actions);
-        } else if (event instanceof RepairRequested asked) {
-            repairAsked(asked, nowNanos);
-        } else if (event instanceof RepairReplied answered) {
-            repairAnswered(answered, nowNanos, actions);
-        } else if (event instanceof BucketsReceived answered) {
-            bucketsAnswered(answered, actions);
-        } else if (event instanceof VersionsReceived answered) {
-            versionsAnswered(answered, actions);
+        } else if (event instanceof RepairRequested request) {
+            handleRepairRequest(request, nowNanos);
+        } else if (event instanceof RepairReplied reply) {
+            handleRepairReply(reply, nowNanos, actions);
+        } else if (event instanceof BucketsReceived buckets) {
+            handleBuckets(buckets, actions);
+        } else if (event instanceof VersionsReceived versions) {
+            handleVersions(versions, actions);
         } else if (event instanceof RepairFailed failed) {
             session = session.filter(present -> !present.isWith(failed.target()));
         }
     }
 
-    private void tick(long nowNanos, List<SpreadAction> actions) {
-        watch.nextRead(isWatcher(), view.vms().size(), repairNanos(), nowNanos).ifPresent(actions::add);
+    private void handleTick(long nowNanos, List<SpreadAction> actions) {
+        watch.nextRead(isWatcher(), view.vms().size(), repairIntervalNanos(), nowNanos)
+                .ifPresent(actions::add);
         actions.addAll(rumors.announcements(view, nowNanos));
         if (nowNanos - nextRepairNanos >= 0) {
-            long interval = gate.isReady() ? repairNanos() : START_REPAIR_NANOS;
+            long interval = gate.isReady() ? repairIntervalNanos() : START_REPAIR_INTERVAL_NANOS;
             nextRepairNanos = nowNanos + interval / 2 + random.nextLong(interval);
-            askRepair(actions);
+            requestRepair(actions);
         }
     }
 
@@ -176,11 +179,13 @@
                 .contains(self);
     }
 
-    private long repairNanos() {
-        return Math.max(SHORTEST_REPAIR_NANOS, REPAIR_NANOS_PER_VM * view.vms().size());
+    private long repairIntervalNanos() {
+        return Math.max(
+                MIN_REPAIR_INTERVAL_NANOS,
+                REPAIR_INTERVAL_NANOS_PER_VM * view.vms().size());
     }
 
-    private void askRepair(List<SpreadAction> actions) {
+    private void requestRepair(List<SpreadAction> actions) {
         if (repairPeer.isPresent()) {
             actions.add(new RequestRepair(repairPeer.get()));
             repairPeer = Optional.empty();
@@ -191,22 +196,22 @@
         Collections.shuffle(peers, random);
         peers.sort(Comparator.comparing(peer -> gate.isKnownIdle(peer.id())));
         peers.stream()
-                .limit(gate.isReady() ? 1 : PEERS_ASKED_AT_START)
+                .limit(gate.isReady() ? 1 : REPAIR_PEERS_AT_START)
                 .forEach(peer -> actions.add(new RequestRepair(peer)));
     }
 
-    private void platformRead(PlatformRead read, long nowNanos, List<SpreadAction> actions) {
-        watch.recordAnswer(read.position(), read.position() != read.askedPosition(), nowNanos);
+    private void handlePlatformRead(PlatformRead read, long nowNanos, List<SpreadAction> actions) {
+        watch.recordAnswer(read.position(), read.position() != read.requestedPosition(), nowNanos);
         SortedSet<Long> numbers = new TreeSet<>();
         for (Ticket ticket : read.tickets()) {
-            take(ticket, Optional.empty(), nowNanos, numbers, actions);
+            apply(ticket, Optional.empty(), nowNanos, numbers, actions);
         }
         publish(numbers, nowNanos, actions);
     }
 
-    private void announced(AnnouncementReceived event, List<SpreadAction> actions) {
+    private void handleAnnouncement(AnnouncementReceived event, List<SpreadAction> actions) {
         rumors.recordKnownBy(event.sender(), event.key());
-        if (!recent.contains(event.key()) && pulls.begin(event.key(), event.sender())) {
+        if (!recentTickets.contains(event.key()) && pulls.begin(event.key(), event.sender())) {
             pullFrom(event.sender(), event.key(), actions);
         }
     }
@@ -224,14 +229,17 @@
         pulls.nextSource(key).ifPresent(peer -> pullFrom(peer, key, actions));
     }
 
-    private void pulled(Pulled event, long nowNanos, List<SpreadAction> actions) {
+    private void handlePulled(Pulled event, long nowNanos, List<SpreadAction> actions) {
         SortedSet<Long> numbers = new TreeSet<>();
-        take(event.ticket(), Optional.of(event.sender()), nowNanos, numbers, actions);
+        apply(event.ticket(), Optional.of(event.sender()), nowNanos, numbers, actions);
         publish(numbers, nowNanos, actions);
     }
 
-    /** Applies a ticket and announces it if it is new; at the start repair between the VMs does that. */
-    private void take(
+    /**
+     * Applies a ticket and announces it if it is new. Before this VM is ready, repair distributes tickets and nothing
+     * is announced.
+     */
+    private void apply(
             Ticket ticket,
             Optional<String> source,
             long nowNanos,
@@ -239,7 +247,7 @@
             List<SpreadAction> actions) {
         TicketKey key = new TicketKey(ticket.number(), TicketDigest.of(ticket));
         pulls.end(key);
-        if (!recent.add(key, ticket)) {
+        if (!recentTickets.add(key, ticket)) {
             return;
         }
         ApplyResult result = store.apply(ticket);
@@ -261,47 +269,48 @@
         }
     }
 
-    private void repairAsked(RepairRequested event, long nowNanos) {
+    private void handleRepairRequest(RepairRequested event, long nowNanos) {
         watch.recordReportedAge(event.summary().platformAgeMillis(), nowNanos);
         gate.recordPeer(event.sender(), event.summary().isReady());
         boolean isBehind = event.summary().isReady()
                 && event.summary().digest() != configuration().digest();
         if (isBehind) {
             repairPeer = view.vm(event.sender());
-            nextRepairNanos = Math.min(nextRepairNanos, nowNanos + START_REPAIR_NANOS);
+            nextRepairNanos = Math.min(nextRepairNanos, nowNanos + START_REPAIR_INTERVAL_NANOS);
         }
     }
 
-    private void repairAnswered(RepairReplied event, long nowNanos, List<SpreadAction> actions) {
+    private void handleRepairReply(RepairReplied event, long nowNanos, List<SpreadAction> actions) {
         Summary summary = event.summary();
         watch.recordReportedAge(summary.platformAgeMillis(), nowNanos);
         gate.recordPeer(event.sender(), summary.isReady());
         if (summary.digest() == configuration().digest()) {
-            finish(summary.isReady());
+            completeRepair(summary.isReady());
             return;
         }
         Optional<Vm> peer = view.vm(event.sender());
-        boolean isBusy = session.isPresent() && nowNanos - sessionBeganNanos < SESSION_LIMIT_NANOS;
-        boolean isOnItsWay = gate.isReady() && !pulls.isEmpty();
-        if (peer.isEmpty() || isBusy || isOnItsWay) {
+        boolean isBusy = session.isPresent() && nowNanos - sessionStartNanos < SESSION_TIMEOUT_NANOS;
+        boolean isBeingPulled = gate.isReady() && !pulls.isEmpty();
+        if (peer.isEmpty() || isBusy || isBeingPulled) {
             return;
         }
-        RepairSession begun = new RepairSession(peer.get(), summary.isReady());
-        List<Long> mine = BucketTree.groupDigests(store.bucketDigests());
-        begun.start(BucketTree.differing(mine, event.groupDigests())).ifPresent(question -> {
-            session = Optional.of(begun);
-            sessionBeganNanos = nowNanos;
-            actions.add(question);
+        RepairSession started = new RepairSession(peer.get(), summary.isReady());
+        List<Long> local = BucketTree.groupDigests(store.bucketDigests());
+        started.start(BucketTree.differing(local, event.groupDigests())).ifPresent(request -> {
+            session = Optional.of(started);
+            sessionStartNanos = nowNanos;
+            actions.add(request);
         });
     }
 
-    private void bucketsAnswered(BucketsReceived event, List<SpreadAction> actions) {
-        Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
-        present.ifPresent(held -> proceed(held, held.compare(store.bucketDigests(), event.bucketDigests()), actions));
+    private void handleBuckets(BucketsReceived event, List<SpreadAction> actions) {
+        Optional<RepairSession> present = session.filter(active -> active.isWith(event.sender()));
+        present.ifPresent(active ->
+                continueRepair(active, active.compare(store.bucketDigests(), event.bucketDigests()), actions));
     }
 
-    private void versionsAnswered(VersionsReceived event, List<SpreadAction> actions) {
-        Optional<RepairSession> present = session.filter(held -> held.isWith(event.sender()));
+    private void handleVersions(VersionsReceived event, List<SpreadAction> actions) {
+        Optional<RepairSession> present = session.filter(active -> active.isWith(event.sender()));
         if (present.isEmpty()) {
             return;
         }
@@ -318,20 +327,20 @@
         if (!numbers.isEmpty()) {
             actions.add(new Publish(numbers));
         }
-        proceed(present.get(), present.get().next(), actions);
+        continueRepair(present.get(), present.get().next(), actions);
     }
 
-    private void proceed(
-            RepairSession held, Optional<SpreadAction.RequestVersions> question, List<SpreadAction> actions) {
-        if (question.isPresent()) {
-            actions.add(question.get());
+    private void continueRepair(
+            RepairSession active, Optional<SpreadAction.RequestVersions> request, List<SpreadAction> actions) {
+        if (request.isPresent()) {
+            actions.add(request.get());
             return;
         }
         session = Optional.empty();
-        finish(held.isServing());
+        completeRepair(active.isServing());
     }
 
-    private void finish(boolean isServing) {
+    private void completeRepair(boolean isServing) {
         if (isServing) {
             gate.markSynchronized();
         }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketValidator.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/TicketValidator.java
@@ -15,9 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/**
- * Reads the documents that others give, and refuses loudly those that are not valid. Safe for use by several threads.
- */
+/** Parses the ticket documents of the platform and of peers; counts and logs those that are not valid. Thread-safe. */
 final class TicketValidator {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -33,7 +31,7 @@
                 .register(metrics);
     }
 
-    /** Returns the valid tickets of the platform; the others are told of and do not block them. */
+    /** Returns the valid tickets of the platform. Invalid ones are reported and skipped. */
     List<Ticket> parseFromPlatform(List<String> documents) {
         List<Ticket> tickets = new ArrayList<>();
         for (String document : documents) {
@@ -48,13 +46,14 @@
         return tickets;
     }
 
-    /** Returns the ticket that a peer gave, empty if it is not valid or not the one asked for. */
+    /** Returns the ticket that a peer sent, empty if it is not valid or not the requested one. */
     Optional<Ticket> parseFromPeer(String peer, TicketKey key, byte[] document) {
         try {
             Ticket ticket = TicketDocument.parse(new String(document, StandardCharsets.UTF_8));
             checkNumber(key, ticket);
             if (TicketDigest.of(ticket) != key.digest()) {
-                throw CoppershelfException.of(ErrorKind.PEER_GARBLED, "its content has another digest");
+                throw CoppershelfException.of(
+                        ErrorKind.PEER_GARBLED, "the digest of its content differs from the announced one");
             }
             return Optional.of(ticket);
         } catch (CoppershelfException e) {
@@ -63,7 +62,7 @@
         }
     }
 
-    /** Counts and tells of what a peer gave, once a minute at most. */
+    /** Counts an invalid document of a peer, and logs one at most once a minute. */
     void recordPeerRefusal(String peer, CoppershelfException cause) {
         refused.labelValues("peer").inc();
         logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).log(
@@ -71,7 +70,7 @@
     }
 
     /**
-     * Checks that a peer gave the ticket of the number that it named.
+     * Checks that a peer sent the ticket with the number that it was requested by.
      *
      * @throws CoppershelfException if not
      */
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The spread of tickets over the fleet: few VMs watch the platform, rumours carry each ticket to the others, and repair
- * by digests brings what was missed.
+ * The spread of tickets over the fleet: a few VMs watch the platform, rumor mongering brings each ticket to the others,
+ * and repair by digests delivers what was missed.
  */
 package io.coppershelf.ticket.internal.spread;
--- a/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/FakeSpreadFleet.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/FakeSpreadFleet.java
@@ -20,25 +20,28 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** Ticket spread of many VMs in virtual time, joined by links that can lose and cut, with a platform that can fail. */
+/**
+ * Simulates the spread of tickets among many VMs in virtual time, with links that lose or block messages and a platform
+ * that can fail.
+ */
 final class FakeSpreadFleet {
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int TICKETS_PER_ANSWER = 2;
     private static final long TIMEOUT_MILLIS = 1_000;
 
     final Map<String, Node> nodes = new TreeMap<>();
     final List<Ticket> published = new ArrayList<>();
     final Set<Long> alarms = new TreeSet<>();
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private final Random random;
     private long nowNanos;
     private long sequence;
     BiPredicate<String, String> passes = (from, to) -> true;
     Predicate<String> reachesPlatform = id -> true;
-    /** How many of the published tickets the platform shows. */
-    int shown = Integer.MAX_VALUE;
+    /** The number of published tickets that the platform returns. */
+    int visibleCount = Integer.MAX_VALUE;
 
-    double loss;
+    double lossRate;
     long platformReads;
     long pulls;
 
@@ -64,7 +67,7 @@
     }
 
     boolean runUntil(Predicate<TicketSpread> condition, long limitMillis) {
-        long end = nowNanos + limitMillis * MILLI;
+        long end = nowNanos + limitMillis * NANOS_PER_MILLI;
         while (!nodes.values().stream().allMatch(node -> condition.test(node.spread))) {
             if (nowNanos >= end) {
                 return false;
@@ -75,32 +78,32 @@
     }
 
     void run(long millis) {
-        long end = nowNanos + millis * MILLI;
+        long end = nowNanos + millis * NANOS_PER_MILLI;
         while (!queue.isEmpty() && queue.peek().atNanos <= end) {
-            Due due = queue.poll();
-            nowNanos = Math.max(nowNanos, due.atNanos);
-            due.task.run();
+            ScheduledTask next = queue.poll();
+            nowNanos = Math.max(nowNanos, next.atNanos);
+            next.task.run();
         }
         nowNanos = end;
     }
 
     private void after(long millis, Runnable task) {
-        queue.add(new Due(nowNanos + millis * MILLI, sequence++, task));
+        queue.add(new ScheduledTask(nowNanos + millis * NANOS_PER_MILLI, sequence++, task));
     }
 
     private List<Ticket> visible() {
-        return List.copyOf(published.subList(0, Math.min(shown, published.size())));
+        return List.copyOf(published.subList(0, Math.min(visibleCount, published.size())));
     }
 
-    private record Due(long atNanos, long sequence, Runnable task) implements Comparable<Due> {
+    private record ScheduledTask(long atNanos, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = Long.compare(atNanos, other.atNanos);
             return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** One VM, with the part of its driver. */
+    /** One VM; executes actions in place of the driver. */
     final class Node {
         private final Vm vm;
         final TicketSpread spread;
@@ -110,7 +113,7 @@
         Node(Vm vm) {
             this.vm = vm;
             view = new FleetSnapshot(vm, List.of(), Set.of());
-            spread = new TicketSpread(view, 3_000 * MILLI, random.nextLong(), nowNanos);
+            spread = new TicketSpread(view, 3_000 * NANOS_PER_MILLI, random.nextLong(), nowNanos);
         }
 
         FleetView view() {
@@ -142,9 +145,9 @@
         private void perform(SpreadAction action) {
             if (action instanceof SpreadAction.ReadPlatform read) {
                 platformReads++;
-                answerWatch(read, nowNanos + read.watchTime().toNanos());
+                answerRead(read, nowNanos + read.watchTime().toNanos());
             } else if (action instanceof SpreadAction.Announce announce) {
-                ask(
+                request(
                         announce.target(),
                         peer -> {
                             boolean wasKnown = peer.spread.hasSeen(announce.key());
@@ -156,7 +159,7 @@
             } else if (action instanceof SpreadAction.Pull pull) {
                 pulls++;
                 SpreadEvent failed = new SpreadEvent.PullFailed(pull.key());
-                ask(
+                request(
                         pull.target(),
                         peer -> peer.spread
                                 .document(pull.key())
@@ -164,10 +167,10 @@
                                 .<SpreadEvent>map(ticket -> new SpreadEvent.Pulled(peer.vm.id(), ticket))
                                 .orElse(failed),
                         failed);
-            } else if (action instanceof SpreadAction.RequestRepair ask) {
+            } else if (action instanceof SpreadAction.RequestRepair request) {
                 SpreadEvent.Summary summary = spread.summary(nowNanos);
-                ask(
-                        ask.target(),
+                request(
+                        request.target(),
                         peer -> {
                             SpreadEvent.RepairReplied answer = new SpreadEvent.RepairReplied(
                                     peer.vm.id(),
@@ -176,17 +179,17 @@
                             peer.handle(new SpreadEvent.RepairRequested(vm.id(), summary));
                             return answer;
                         },
-                        new SpreadEvent.RepairFailed(ask.target().id()));
-            } else if (action instanceof SpreadAction.RequestBuckets ask) {
-                ask(
-                        ask.target(),
-                        peer -> peer.buckets(ask.groups()),
-                        new SpreadEvent.RepairFailed(ask.target().id()));
-            } else if (action instanceof SpreadAction.RequestVersions ask) {
-                ask(
-                        ask.target(),
-                        peer -> peer.versions(ask.buckets()),
-                        new SpreadEvent.RepairFailed(ask.target().id()));
+                        new SpreadEvent.RepairFailed(request.target().id()));
+            } else if (action instanceof SpreadAction.RequestBuckets request) {
+                request(
+                        request.target(),
+                        peer -> peer.buckets(request.groups()),
+                        new SpreadEvent.RepairFailed(request.target().id()));
+            } else if (action instanceof SpreadAction.RequestVersions request) {
+                request(
+                        request.target(),
+                        peer -> peer.versions(request.buckets()),
+                        new SpreadEvent.RepairFailed(request.target().id()));
             } else if (action instanceof SpreadAction.AlarmConflict conflict) {
                 alarms.add(conflict.number());
             }
@@ -206,43 +209,43 @@
             return new SpreadEvent.VersionsReceived(vm.id(), versions);
         }
 
-        private void answerWatch(SpreadAction.ReadPlatform read, long untilNanos) {
+        private void answerRead(SpreadAction.ReadPlatform read, long untilNanos) {
             if (!reachesPlatform.test(vm.id())) {
                 after(TIMEOUT_MILLIS, () -> handle(new SpreadEvent.PlatformReadFailed()));
                 return;
             }
             List<Ticket> visible = visible();
             if (visible.size() <= read.position() && nowNanos < untilNanos) {
-                after(10, () -> answerWatch(read, untilNanos));
+                after(10, () -> answerRead(read, untilNanos));
                 return;
             }
             int from = (int) Math.min(read.position(), visible.size());
             int to = Math.min(from + TICKETS_PER_ANSWER, visible.size());
-            List<Ticket> news = visible.subList(from, to);
-            after(1, () -> handle(new SpreadEvent.PlatformRead(read.position(), to, news)));
+            List<Ticket> newTickets = visible.subList(from, to);
+            after(1, () -> handle(new SpreadEvent.PlatformRead(read.position(), to, newTickets)));
         }
 
-        private void ask(Vm target, Function<Node, SpreadEvent> handler, SpreadEvent failure) {
-            boolean[] isEnded = new boolean[1];
+        private void request(Vm target, Function<Node, SpreadEvent> handler, SpreadEvent failure) {
+            boolean[] isCompleted = new boolean[1];
             deliver(vm.id(), target.id(), () -> {
                 Optional<Node> peer = Optional.ofNullable(nodes.get(target.id()));
                 peer.filter(node -> node.isUp)
                         .map(handler)
-                        .ifPresent(answer -> deliver(target.id(), vm.id(), () -> end(isEnded, answer)));
+                        .ifPresent(answer -> deliver(target.id(), vm.id(), () -> end(isCompleted, answer)));
             });
-            after(TIMEOUT_MILLIS, () -> end(isEnded, failure));
+            after(TIMEOUT_MILLIS, () -> end(isCompleted, failure));
         }
 
-        private void end(boolean[] isEnded, SpreadEvent event) {
-            if (!isEnded[0]) {
-                isEnded[0] = true;
+        private void end(boolean[] isCompleted, SpreadEvent event) {
+            if (!isCompleted[0]) {
+                isCompleted[0] = true;
                 handle(event);
             }
         }
     }
 
     private void deliver(String from, String to, Runnable task) {
-        if (passes.test(from, to) && random.nextDouble() >= loss) {
+        if (passes.test(from, to) && random.nextDouble() >= lossRate) {
             after(1 + random.nextInt(3), task);
         }
     }
--- a/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/TicketSpreadTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/TicketSpreadTest.java
@@ -31,19 +31,19 @@
 
     @ParameterizedTest
     @CsvSource({"1, 0", "2, 0", "36, 0", "36, 0.1"})
-    void bringsATicketIntoForceEverywhereWithinTheTarget(int size, double loss) {
-        FakeSpreadFleet any = new FakeSpreadFleet(size, size);
-        any.published.add(floor(1, 5));
-        settle(any);
-        any.loss = loss;
-        any.published.add(floor(2, 6));
-
-        assertThat(any.runUntil(isInForce(2, 6), loss == 0 ? TARGET_MILLIS : REPAIR_MILLIS))
+    void bringsATicketIntoForceEverywhereWithinTheTarget(int size, double lossRate) {
+        FakeSpreadFleet simulated = new FakeSpreadFleet(size, size);
+        simulated.published.add(floor(1, 5));
+        settle(simulated);
+        simulated.lossRate = lossRate;
+        simulated.published.add(floor(2, 6));
+
+        assertThat(simulated.runUntil(isInForce(2, 6), lossRate == 0 ? TARGET_MILLIS : REPAIR_MILLIS))
                 .isTrue();
     }
 
     @Test
-    void carriesEachTicketToEachVmAboutOnce() {
+    void pullsEachTicketAboutOncePerVm() {
         settle(fleet);
         fleet.pulls = 0;
         IntStream.rangeClosed(1, 20).forEach(number -> fleet.published.add(floor(number, number)));
@@ -73,20 +73,20 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void neverRevertsWhenThePlatformGoesStaleOrIsRestored(int shownLater) {
+    void neverRevertsWhenThePlatformGoesStaleOrIsRestored(int laterVisibleCount) {
         publishThree();
-        fleet.shown = shownLater;
+        fleet.visibleCount = laterVisibleCount;
         fleet.run(400_000);
         assertAll(isInForce(3, 30));
 
-        fleet.published.subList(shownLater, 3).clear();
-        fleet.shown = Integer.MAX_VALUE;
+        fleet.published.subList(laterVisibleCount, 3).clear();
+        fleet.visibleCount = Integer.MAX_VALUE;
         fleet.published.add(floor(4, 40));
         assertThat(fleet.runUntil(isInForce(4, 40), REPAIR_MILLIS)).isTrue();
     }
 
     @Test
-    void startsFromPeersAloneWhileThePlatformIsAway() {
+    void startsFromPeersAloneWhileThePlatformIsUnavailable() {
         publishThree();
         fleet.reachesPlatform = id -> false;
         fleet.start("vm-36");
@@ -98,7 +98,7 @@
     @Test
     void startsFromPeersWhileThePlatformIsStale() {
         publishThree();
-        fleet.shown = 1;
+        fleet.visibleCount = 1;
         fleet.start("vm-36");
         FakeSpreadFleet.Node started = fleet.nodes.get("vm-36");
         while (!started.spread.isReady()) {
@@ -117,9 +117,9 @@
     }
 
     @Test
-    void doesNotServeWhilePeersAreCutOff() {
+    void doesNotServeWhilePeersAreUnreachable() {
         publishThree();
-        fleet.shown = 1;
+        fleet.visibleCount = 1;
         fleet.passes = (from, to) -> !from.equals("vm-36") && !to.equals("vm-36");
         fleet.start("vm-36");
         fleet.run(60_000);
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void losesNoTicketWhenAllVmsAreReplacedWhileThePlatformIsAway() {
+    void losesNoTicketWhenAllVmsAreReplacedDuringAPlatformOutage() {
         publishThree();
         fleet.reachesPlatform = id -> false;
         for (int i = 0; i < SIZE; i++) {
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void losesNoTicketWhenAThirdIsReplacedAtOnce() {
+    void losesNoTicketWhenAThirdOfTheVmsIsReplacedAtOnce() {
         publishThree();
         fleet.reachesPlatform = id -> false;
         IntStream.range(0, 12).forEach(i -> fleet.stop("vm-" + i));
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void agreesOnOneOfTwoContentsUnderOneNumberAndAlarms() {
+    void agreesOnOneOfTwoContentsUnderOneNumberAndReportsTheConflict() {
         settle(fleet);
         fleet.published.add(floor(7, 70));
         fleet.run(5);
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void holdsRemovalsAgainstEarlierTickets() {
+    void keepsRemovalsWhenEarlierTicketsArriveLater() {
         settle(fleet);
         ObjectKey key = new ObjectKey(ObjectType.SERVICE, "rotavis");
         fleet.published.add(new Ticket(5, List.of(ObjectState.removed(key))));
@@ -182,10 +182,10 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"one data centre hears nothing", "one data centre is not heard", "halves"})
-    void healsAfterCuts(String cut) {
+    void convergesAfterNetworkPartitionsHeal(String partition) {
         settle(fleet);
         BiPredicate<String, String> passes =
-                switch (cut) {
+                switch (partition) {
                     case "one data centre hears nothing" -> (from, to) -> isIn(1, from) || !isIn(1, to);
                     case "one data centre is not heard" -> (from, to) -> !isIn(1, from) || isIn(1, to);
                     default -> (from, to) -> number(from) < SIZE / 2 == number(to) < SIZE / 2;
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void takesOverTheWatchWhenAllWatchersLoseThePlatform() {
+    void otherVmsReadThePlatformWhenAllWatchersLoseIt() {
         settle(fleet);
         Set<String> watchers = IntStream.range(0, 4)
                 .boxed()
@@ -224,10 +224,10 @@
         fleet.run(60_000);
         before = fleet.platformReads;
         fleet.run(60_000);
-        double away = (fleet.platformReads - before) / 60.0;
+        double unavailable = (fleet.platformReads - before) / 60.0;
 
         assertWithMessage("calls a second of 8 watchers").that(watched).isAtMost(8.0);
-        assertWithMessage("calls a second while away").that(away).isAtMost(20.0);
+        assertWithMessage("calls a second while away").that(unavailable).isAtMost(20.0);
     }
 
     private void publishThree() {
@@ -236,8 +236,8 @@
         assertThat(fleet.runUntil(isInForce(3, 30), TARGET_MILLIS)).isTrue();
     }
 
-    private static void settle(FakeSpreadFleet any) {
-        assertThat(any.runUntil(TicketSpread::isReady, 10_000)).isTrue();
+    private static void settle(FakeSpreadFleet simulated) {
+        assertThat(simulated.runUntil(TicketSpread::isReady, 10_000)).isTrue();
     }
 
     private void assertAll(Predicate<TicketSpread> condition) {
