--- a/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
@@ -31,8 +31,8 @@
     List<RouteSpec> routes();
 
     /**
-     * Returns the route that matches the method and the path; an exact path goes before a prefix, a longer prefix
-     * before a shorter.
+     * Returns the route that matches the method and the path; an exact path takes precedence over a prefix, and a
+     * longer prefix over a shorter one.
      */
     Optional<RouteSpec> route(String method, String path);
 
@@ -42,7 +42,7 @@
     /** Returns the backend servers and routes that are not used because their service is not known. */
     List<ObjectSpec> unused();
 
-    /** Where traffic threads read the configuration in force. */
+    /** Provides traffic threads with the configuration in force. */
     interface Source {
         ComponentKey<Source> NAME = ComponentKey.named("configuration", Source.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/ConfigurationReview.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/ConfigurationReview.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Looks over a whole configuration for what no single ticket can show: unknown services, floors that can't be held,
- * routes that hide each other. Such a configuration is in force all the same.
+ * Checks a complete configuration for problems that no single ticket can show: unknown services, floors that can't be
+ * met, routes that match the same requests. A configuration with such problems comes into force all the same.
  */
 public final class ConfigurationReview {
     private final Configuration configuration;
@@ -18,7 +18,7 @@
         this.configuration = configuration;
     }
 
-    /** Returns what is wrong with the configuration. */
+    /** Returns the problems of the configuration. */
     public static List<Problem> of(Configuration configuration) {
         ConfigurationReview review = new ConfigurationReview(configuration);
         configuration.services().forEach(review::reviewFloor);
@@ -53,9 +53,10 @@
         Map<String, String> namesByMatch = new HashMap<>();
         for (RouteSpec route : configuration.routes()) {
             String match = route.method() + " " + route.path();
-            String other = namesByMatch.putIfAbsent(match, route.name());
-            if (other != null) {
-                problems.add("/routes/" + route.name(), "must not match " + match + ", which " + other + " matches");
+            String otherName = namesByMatch.putIfAbsent(match, route.name());
+            if (otherName != null) {
+                problems.add(
+                        "/routes/" + route.name(), "must not match " + match + ", which " + otherName + " matches");
             }
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/ConfigurationStore.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/ConfigurationStore.java
@@ -11,8 +11,8 @@
 import java.util.TreeSet;
 
 /**
- * The configuration that the tickets seen so far add up to. Tickets may come in any order, again, and with gaps. A pure
- * state machine: not safe for use by several threads, but its snapshots are immutable.
+ * Merges tickets into the configuration in force. Tickets may arrive in any order, repeatedly, and with gaps. A pure
+ * state machine: not thread-safe, but its snapshots are immutable.
  *
  * <pre>{@code
  * ConfigurationStore store = new ConfigurationStore();
@@ -21,26 +21,26 @@
  * }</pre>
  */
 public final class ConfigurationStore {
-    /** The number of buckets over which objects are spread for comparison between VMs. */
+    /** The number of buckets among which objects are distributed for comparison between VMs. */
     public static final int BUCKETS = PackedMap.BUCKETS;
 
-    private static final int REMEMBERED_TICKETS = 1024;
-    private static final int REMEMBERED_CONFLICTS = 64;
+    private static final int MAX_TICKET_DIGESTS = 1024;
+    private static final int MAX_CONFLICTS = 64;
 
     private final Map<Long, Long> digestsByNumber = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-            return size() > REMEMBERED_TICKETS;
+            return size() > MAX_TICKET_DIGESTS;
         }
     };
     private final SortedSet<Long> conflicts = new TreeSet<>();
     private PackedConfiguration configuration = PackedConfiguration.empty();
 
     /**
-     * Applies a ticket: each of its objects takes the state that the ticket gives it, unless a ticket of a higher
-     * number, or of the same number with a smaller digest, has set it.
+     * Applies a ticket: each of its objects gets the state that the ticket gives it, unless a ticket with a higher
+     * number, or with the same number and a smaller digest, has already set it.
      */
     public ApplyResult apply(Ticket ticket) {
         long digest = TicketDigest.of(ticket);
@@ -49,16 +49,16 @@
         for (ObjectState state : ticket.objects()) {
             conflict |= put(new ObjectVersion(ticket.number(), digest, state), changed);
         }
-        remember(ticket.number(), conflict);
+        recordConflict(ticket.number(), conflict);
         return new ApplyResult(changed, conflict);
     }
 
-    /** Applies the version of a single object as another VM holds it. */
+    /** Applies the version of a single object that another VM has in force. */
     public ApplyResult apply(ObjectVersion version) {
         List<ObjectKey> changed = new ArrayList<>();
         boolean conflict = isConflict(version.ticket(), version.ticketDigest());
         conflict |= put(version, changed);
-        remember(version.ticket(), conflict);
+        recordConflict(version.ticket(), conflict);
         return new ApplyResult(changed, conflict);
     }
 
@@ -72,7 +72,7 @@
         return new TreeSet<>(conflicts);
     }
 
-    /** Returns the digest of each bucket, equal on VMs that hold the same versions of its objects. */
+    /** Returns the digest of each bucket, equal on VMs that have the same versions of its objects. */
     public long[] bucketDigests() {
         return configuration.bucketDigests();
     }
@@ -90,9 +90,9 @@
     private boolean put(ObjectVersion version, List<ObjectKey> changed) {
         ObjectKey key = version.state().key();
         Optional<ObjectVersion> present = configuration.version(key);
-        boolean conflict = present.filter(held -> version.conflictsWith(held.ticket(), held.ticketDigest()))
+        boolean conflict = present.filter(current -> version.conflictsWith(current.ticket(), current.ticketDigest()))
                 .isPresent();
-        if (present.filter(held -> !version.supersedes(held.ticket(), held.ticketDigest()))
+        if (present.filter(current -> !version.supersedes(current.ticket(), current.ticketDigest()))
                 .isEmpty()) {
             configuration = configuration.with(version);
             changed.add(key);
@@ -105,12 +105,12 @@
         return seen != null && seen != digest;
     }
 
-    private void remember(long number, boolean conflict) {
+    private void recordConflict(long number, boolean conflict) {
         if (!conflict) {
             return;
         }
         conflicts.add(number);
-        if (conflicts.size() > REMEMBERED_CONFLICTS) {
+        if (conflicts.size() > MAX_CONFLICTS) {
             conflicts.remove(conflicts.first());
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/ObjectSpec.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/ObjectSpec.java
@@ -1,6 +1,6 @@
 package io.coppershelf.ticket;
 
-/** The whole state of one configured object. */
+/** The complete state of one configured object. */
 public sealed interface ObjectSpec permits ServiceSpec, ServerSpec, RouteSpec {
     /** Returns the identity of the object. */
     ObjectKey key();
--- a/coppershelf/src/main/java/io/coppershelf/ticket/ObjectState.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/ObjectState.java
@@ -6,7 +6,7 @@
  * The state that one ticket gives to one object.
  *
  * @param key the object
- * @param spec its whole state, empty if the ticket removes it
+ * @param spec its complete state, empty if the ticket removes it
  */
 public record ObjectState(ObjectKey key, Optional<ObjectSpec> spec) {
     /** Returns the state of an object that exists. */
--- a/coppershelf/src/main/java/io/coppershelf/ticket/RouteSpec.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/RouteSpec.java
@@ -9,9 +9,9 @@
  * @param service the service that serves it
  * @param method the HTTP method
  * @param path the path; a last segment {@code *} matches any remainder
- * @param idempotent whether running it twice is the same as running it once
+ * @param idempotent whether running it twice has the same effect as running it once
  * @param deadline the longest time from receipt to answer
- * @param weight its weight when not all requests can be served; larger is more important
+ * @param weight its weight when not all requests can be served; a larger weight is more important
  * @param largestBody the largest request body in bytes
  * @param largestAnswer the largest answer body in bytes
  */
--- a/coppershelf/src/main/java/io/coppershelf/ticket/ServerSpec.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/ServerSpec.java
@@ -5,12 +5,12 @@
  *
  * @param name the name, unique over all services, such as {@code rotavis-3}
  * @param service the service that it belongs to
- * @param dataCentre the data centre in which it stands
- * @param host its IP number
+ * @param dataCentre the data centre in which it runs
+ * @param host its IP address
  * @param port its TCP port
- * @param slots the requests that it runs at once
- * @param connections the connections that it accepts from the whole fleet
- * @param draining whether it is to receive no new work
+ * @param slots the number of requests that it runs at once
+ * @param connections the number of connections that it accepts from the whole fleet
+ * @param draining whether it must receive no new requests
  */
 public record ServerSpec(
         String name,
--- a/coppershelf/src/main/java/io/coppershelf/ticket/ServiceSpec.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/ServiceSpec.java
@@ -1,10 +1,10 @@
 package io.coppershelf.ticket;
 
 /**
- * A service in front of which the fleet stands.
+ * A service for which the fleet is the proxy.
  *
  * @param name the name, such as {@code rotavis}
- * @param floor the least number of backend servers that must stay in service
+ * @param floor the minimum number of backend servers that must stay in service
  * @param detectionWeight how detection time weighs against false ejections, from 0 (avoid false ejections) to 1 (detect
  *     soon)
  */
--- a/coppershelf/src/main/java/io/coppershelf/ticket/TicketComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/TicketComponent.java
@@ -14,7 +14,7 @@
 import io.prometheus.metrics.core.metrics.GaugeWithCallback;
 import java.time.Duration;
 
-/** The part of the daemon that brings tickets into force, from the platform and from the peers. */
+/** The component of the daemon that brings the tickets of the platform and of the peers into force. */
 public final class TicketComponent implements Component {
     private final ConfigurationHolder holder = new ConfigurationHolder();
 
@@ -30,7 +30,7 @@
 
     @Override
     public void start(ComponentRegistry registry) {
-        OperatorRegistry desk = registry.require(OperatorRegistry.NAME);
+        OperatorRegistry operatorRegistry = registry.require(OperatorRegistry.NAME);
         SpreadDriver driver = new SpreadDriver(
                 holder,
                 registry.require(ControlThread.NAME),
@@ -39,13 +39,13 @@
                 registry.require(PeerExchange.NAME),
                 registry.find(Platform.NAME),
                 registry.require(Timeline.NAME),
-                desk.metrics());
-        desk.addReadiness("tickets", driver::isReady);
+                operatorRegistry.metrics());
+        operatorRegistry.addReadiness("tickets", driver::isReady);
         GaugeWithCallback.builder()
                 .name("coppershelf_ticket_number")
                 .help("Number of the highest ticket in force.")
                 .callback(callback -> callback.call((double) holder.current().ticketNumber()))
-                .register(desk.metrics());
+                .register(operatorRegistry.metrics());
         driver.start();
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/TicketDigest.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/TicketDigest.java
@@ -3,7 +3,7 @@
 import com.google.common.hash.Hashing;
 import io.coppershelf.ticket.internal.TicketBytes;
 
-/** The digest of a ticket's content, equal for tickets that say the same. */
+/** The digest of a ticket's content, equal for tickets with the same content. */
 public final class TicketDigest {
     private TicketDigest() {}
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/TicketDocument.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/TicketDocument.java
@@ -20,7 +20,7 @@
  * }</pre>
  */
 public final class TicketDocument {
-    /** The largest document, in bytes of UTF-8. */
+    /** The maximum size of a document, in bytes of UTF-8. */
     public static final int MAX_DOCUMENT_BYTES = 1_048_576;
 
     private static final DocumentSchema SCHEMA = DocumentSchema.load(TicketDocument.class, "ticket.schema.json");
@@ -28,7 +28,7 @@
     private TicketDocument() {}
 
     /**
-     * Reads and checks a ticket as a whole.
+     * Parses and checks a ticket.
      *
      * @throws CoppershelfException with {@link ErrorKind#INVALID_TICKET}, naming every problem with its path
      */
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/ObjectCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/ObjectCodec.java
@@ -16,7 +16,7 @@
 import java.util.Optional;
 
 /**
- * Writes an object version as bytes and reads it back; the name of the object is kept outside.
+ * Writes an object version as bytes and reads it back. The bytes don't include the name of the object.
  *
  * <p>Layout: ticket number (8 bytes), ticket digest (8), presence (1), then the fields of the type.
  */
@@ -66,7 +66,7 @@
         return Optional.of(readSpec(key.type(), key.name(), in));
     }
 
-    /** Writes the state of an object as it counts for the digest of a ticket. */
+    /** Writes the state of an object, name included, for the digest of a ticket. */
     static void writeState(ObjectState state, ByteArrayDataOutput out) {
         out.writeUTF(state.key().type().name());
         out.writeUTF(state.key().name());
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/PackedConfiguration.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/PackedConfiguration.java
@@ -20,8 +20,8 @@
 import java.util.stream.Stream;
 
 /**
- * A configuration in packed form; objects are made on each look-up. A server or route whose service is unknown is kept
- * but not shown, so that tickets may arrive in any order.
+ * A configuration in packed form; objects are decoded on each look-up. A server or route whose service is unknown is
+ * kept but hidden, so that tickets may arrive in any order.
  */
 public final class PackedConfiguration implements Configuration {
     private final long ticketNumber;
@@ -52,10 +52,10 @@
         return new PackedConfiguration(0, objects, NameIndex.empty(), NameIndex.empty(), new long[PackedMap.BUCKETS]);
     }
 
-    /** Returns this configuration with the version put in the place of the one that it has of the object. */
+    /** Returns a copy of this configuration in which the version replaces the present one of its object. */
     public PackedConfiguration with(ObjectVersion version) {
         ObjectKey key = version.state().key();
-        Optional<byte[]> before = written(key);
+        Optional<byte[]> before = packed(key);
         byte[] after = ObjectCodec.write(version);
         Map<ObjectType, PackedMap> changed = new EnumMap<>(objects);
         changed.put(key.type(), objects.get(key.type()).with(key.name(), after));
@@ -69,9 +69,9 @@
                 digestsWith(key, before, after));
     }
 
-    /** Returns the version in force of an object, removed ones included. */
+    /** Returns the version in force of an object, also if it is removed. */
     public Optional<ObjectVersion> version(ObjectKey key) {
-        return written(key).map(bytes -> ObjectCodec.read(key, bytes));
+        return packed(key).map(bytes -> ObjectCodec.read(key, bytes));
     }
 
     /** Returns the versions of one bucket, removed and hidden objects included. */
@@ -106,7 +106,7 @@
 
     @Override
     public long serviceTicket(String name) {
-        return written(new ObjectKey(ObjectType.SERVICE, name))
+        return packed(new ObjectKey(ObjectType.SERVICE, name))
                 .map(ObjectCodec::ticket)
                 .orElse(0L);
     }
@@ -168,7 +168,7 @@
                 .toList();
     }
 
-    /** Returns the shown routes with the given path, the one that was set by the highest ticket first. */
+    /** Returns the visible routes with the given path, the one that was set by the highest ticket first. */
     private List<RouteSpec> routesOf(String pattern) {
         return routesByPath.names(pattern).stream()
                 .flatMap(name -> version(new ObjectKey(ObjectType.ROUTE, name)).stream())
@@ -186,13 +186,13 @@
                 .isPresent();
     }
 
-    private Optional<byte[]> written(ObjectKey key) {
+    private Optional<byte[]> packed(ObjectKey key) {
         return objects.get(key.type()).get(key.name());
     }
 
     private <T extends ObjectSpec> Optional<T> find(ObjectType type, String name, Class<T> specType) {
         ObjectKey key = new ObjectKey(type, name);
-        return written(key).flatMap(bytes -> ObjectCodec.spec(key, bytes)).map(specType::cast);
+        return packed(key).flatMap(bytes -> ObjectCodec.spec(key, bytes)).map(specType::cast);
     }
 
     private <T extends ObjectSpec> List<T> all(ObjectType type, Class<T> specType) {
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/PackedMap.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/PackedMap.java
@@ -7,8 +7,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * An immutable map from names to byte strings. Entries lie one after another in one array a bucket, so that an entry
- * costs its own bytes and six more; a change copies one bucket and the table of buckets.
+ * An immutable map from names to byte strings. The entries of a bucket are stored one after another in one array, so
+ * that an entry takes six bytes more than its content; a change copies one bucket and the table of buckets.
  *
  * <p>Entry: key length (2 bytes), key (UTF-8), value length (4 bytes), value.
  */
@@ -17,7 +17,7 @@
     public static final int BUCKETS = 1024;
 
     private static final byte[] NO_ENTRIES = {};
-    private static final int FRAME_BYTES = Short.BYTES + Integer.BYTES;
+    private static final int LENGTH_FIELDS_BYTES = Short.BYTES + Integer.BYTES;
 
     private final byte[][] buckets;
     private final int size;
@@ -34,7 +34,7 @@
         return new PackedMap(buckets, 0);
     }
 
-    /** Returns the bucket in which a name lies. */
+    /** Returns the bucket of a name. */
     public static int bucketOf(String name) {
         int hash = name.hashCode() * 0x9E3779B9;
         return hash >>> (Integer.SIZE - Integer.numberOfTrailingZeros(BUCKETS));
@@ -52,21 +52,22 @@
         return offset < 0 ? Optional.empty() : Optional.of(valueAt(bucket, offset));
     }
 
-    /** Returns this map with the value set for the name. */
+    /** Returns a copy of this map with the value set for the name. */
     public PackedMap with(String name, byte[] value) {
         byte[] key = name.getBytes(StandardCharsets.UTF_8);
         byte[] bucket = buckets[bucketOf(name)];
         int offset = find(bucket, key);
         int end = offset < 0 ? bucket.length : offset;
         int rest = offset < 0 ? bucket.length : offset + entryBytes(bucket, offset);
-        ByteBuffer changed = ByteBuffer.allocate(end + FRAME_BYTES + key.length + value.length + bucket.length - rest);
+        ByteBuffer changed =
+                ByteBuffer.allocate(end + LENGTH_FIELDS_BYTES + key.length + value.length + bucket.length - rest);
         changed.put(bucket, 0, end);
         changed.putShort((short) key.length).put(key).putInt(value.length).put(value);
         changed.put(bucket, rest, bucket.length - rest);
         return replace(bucketOf(name), changed.array(), offset < 0 ? size + 1 : size);
     }
 
-    /** Returns this map without the name. */
+    /** Returns a copy of this map without the name. */
     public PackedMap without(String name) {
         byte[] bucket = buckets[bucketOf(name)];
         int offset = find(bucket, name.getBytes(StandardCharsets.UTF_8));
@@ -113,13 +114,13 @@
     }
 
     private static byte[] valueAt(byte[] bucket, int offset) {
-        int from = offset + FRAME_BYTES + keyBytes(bucket, offset);
+        int from = offset + LENGTH_FIELDS_BYTES + keyBytes(bucket, offset);
         return Arrays.copyOfRange(bucket, from, offset + entryBytes(bucket, offset));
     }
 
     private static int entryBytes(byte[] bucket, int offset) {
         int keyBytes = keyBytes(bucket, offset);
-        return FRAME_BYTES + keyBytes + ByteBuffer.wrap(bucket).getInt(offset + Short.BYTES + keyBytes);
+        return LENGTH_FIELDS_BYTES + keyBytes + ByteBuffer.wrap(bucket).getInt(offset + Short.BYTES + keyBytes);
     }
 
     private static int keyBytes(byte[] bucket, int offset) {
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/PathPatterns.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/PathPatterns.java
@@ -10,7 +10,10 @@
 
     private PathPatterns() {}
 
-    /** Returns the patterns that match a path, the best first: the path itself, then ever shorter prefixes. */
+    /**
+     * Returns the patterns that match a path, the most specific first: the path itself, then shorter and shorter
+     * prefixes.
+     */
     static List<String> matching(String path) {
         List<String> patterns = new ArrayList<>();
         if (!path.endsWith(ANY_REMAINDER)) {
@@ -30,7 +33,7 @@
         return path.matches("/([A-Za-z0-9._~@:+,=-]+/)*([A-Za-z0-9._~@:+,=-]+)?") && !path.matches(".*/\\.{1,2}(/.*)?");
     }
 
-    /** Returns whether the path lies in the range that coppershelf keeps for itself. */
+    /** Returns whether the path is reserved for coppershelf itself. */
     public static boolean isReserved(String pattern) {
         return pattern.equals(RESERVED) || pattern.startsWith(RESERVED + "/");
     }
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/TicketBytes.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/TicketBytes.java
@@ -4,7 +4,7 @@
 import com.google.common.io.ByteStreams;
 import io.coppershelf.ticket.Ticket;
 
-/** The bytes of a ticket's content in one fixed order, for its digest. */
+/** The bytes of a ticket's content in a fixed order, for its digest. */
 public final class TicketBytes {
     private TicketBytes() {}
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/TicketChecks.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/TicketChecks.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Checks of a ticket document that its schema can't say. */
+/** The checks of a ticket document that its schema can't express. */
 public final class TicketChecks {
     private static final String SERVICES = "services";
     private static final String SERVERS = "servers";
@@ -20,7 +20,7 @@
         this.problems = problems;
     }
 
-    /** Adds what is wrong to the problems; parts of a wrong type are left to the schema. */
+    /** Adds what is invalid to the problems; values of a wrong type are left to the check by the schema. */
     public static void check(JsonNode document, Problems problems) {
         TicketChecks checks = new TicketChecks(document, problems);
         checks.checkNotEmpty();
@@ -39,7 +39,7 @@
     }
 
     private void checkServers() {
-        Map<String, String> taken = new HashMap<>();
+        Map<String, String> pathsByValue = new HashMap<>();
         document.path(SERVERS).properties().forEach(entry -> {
             JsonNode server = entry.getValue();
             String path = pointer(SERVERS, entry.getKey());
@@ -47,13 +47,13 @@
             checkHost(server.path("host"), path + "/host");
             if (server.path("host").isTextual() && server.path("port").isInt()) {
                 String address = server.path("host").textValue() + ":" + server.path("port");
-                checkUnique(taken, address, path, "address " + address);
+                checkUnique(pathsByValue, address, path, "address " + address);
             }
         });
     }
 
     private void checkRoutes() {
-        Map<String, String> taken = new HashMap<>();
+        Map<String, String> pathsByValue = new HashMap<>();
         document.path(ROUTES).properties().forEach(entry -> {
             JsonNode route = entry.getValue();
             String path = pointer(ROUTES, entry.getKey());
@@ -62,7 +62,7 @@
             if (route.path("method").isTextual() && route.path("path").isTextual()) {
                 String match = route.path("method").textValue() + " "
                         + route.path("path").textValue();
-                checkUnique(taken, match, path, "method and path " + match);
+                checkUnique(pathsByValue, match, path, "method and path " + match);
             }
         });
     }
@@ -94,10 +94,10 @@
         }
     }
 
-    private void checkUnique(Map<String, String> taken, String value, String path, String what) {
-        String other = taken.putIfAbsent(value, path);
-        if (other != null) {
-            problems.add(path, "must not have the " + what + ", which " + other + " has");
+    private void checkUnique(Map<String, String> pathsByValue, String value, String path, String valueName) {
+        String otherPath = pathsByValue.putIfAbsent(value, path);
+        if (otherPath != null) {
+            problems.add(path, "must not have the " + valueName + ", which " + otherPath + " has");
         }
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/TicketJson.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/TicketJson.java
@@ -18,13 +18,13 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Turns checked JSON into tickets, and tickets into JSON. */
+/** Converts checked JSON to tickets, and tickets to JSON. */
 public final class TicketJson {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     private TicketJson() {}
 
-    /** Reads a document that has passed its checks. */
+    /** Reads a document that has passed the checks. */
     public static Ticket read(JsonNode document) {
         List<ObjectState> objects = new ArrayList<>();
         for (ObjectType type : ObjectType.values()) {
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/package-info.java
@@ -1,2 +1,2 @@
-/** The compact form in which a VM holds the configuration, and the parts of the ticket document. */
+/** The compact in-memory form of the configuration, and the checks and codecs of ticket documents. */
 package io.coppershelf.ticket.internal;
--- a/coppershelf/src/test/java/io/coppershelf/ticket/ConfigurationStorePropertiesTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/ConfigurationStorePropertiesTest.java
@@ -19,14 +19,14 @@
     private static final String SEED = "20261203";
 
     @Property(tries = 300, seed = SEED)
-    void holdsTheSameConfigurationWhateverTheOrderAndRepetitionOfTickets(
+    void orderAndRepetitionOfTicketsDoNotChangeTheConfiguration(
             @ForAll("tickets") List<Ticket> tickets, @ForAll int shuffle) {
-        List<Ticket> again = new ArrayList<>(tickets);
-        again.addAll(tickets);
-        Collections.shuffle(again, new Random(shuffle));
+        List<Ticket> shuffledAndRepeated = new ArrayList<>(tickets);
+        shuffledAndRepeated.addAll(tickets);
+        Collections.shuffle(shuffledAndRepeated, new Random(shuffle));
 
         ConfigurationStore first = applied(tickets);
-        ConfigurationStore second = applied(again);
+        ConfigurationStore second = applied(shuffledAndRepeated);
 
         assertThat(versions(second)).isEqualTo(versions(first));
         assertThat(second.snapshot().digest()).isEqualTo(first.snapshot().digest());
@@ -36,7 +36,7 @@
     }
 
     @Property(tries = 300, seed = SEED)
-    void neverReverts(@ForAll("tickets") List<Ticket> tickets) {
+    void objectsNeverRevertToAnOlderVersion(@ForAll("tickets") List<Ticket> tickets) {
         ConfigurationStore store = new ConfigurationStore();
         for (Ticket ticket : tickets) {
             Map<ObjectKey, ObjectVersion> before = versions(store);
@@ -50,14 +50,14 @@
     }
 
     @Property(tries = 300, seed = SEED)
-    void agreesWithAnotherStoreAfterExchangeOfVersions(
+    void twoStoresAgreeAfterExchangingVersions(
             @ForAll("tickets") List<Ticket> some, @ForAll("tickets") List<Ticket> others) {
         ConfigurationStore first = applied(some);
         ConfigurationStore second = applied(others);
-        List<ObjectVersion> held = List.copyOf(versions(first).values());
+        List<ObjectVersion> versionsOfFirst = List.copyOf(versions(first).values());
 
         versions(second).values().forEach(first::apply);
-        held.forEach(second::apply);
+        versionsOfFirst.forEach(second::apply);
 
         assertThat(first.bucketDigests()).isEqualTo(second.bucketDigests());
         assertThat(versions(first)).isEqualTo(versions(second));
--- a/coppershelf/src/test/java/io/coppershelf/ticket/ConfigurationStoreTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/ConfigurationStoreTest.java
@@ -17,7 +17,7 @@
     private final ConfigurationStore store = new ConfigurationStore();
 
     @Test
-    void keepsStateOfHigherTicketWhenLowerOneComesLate() {
+    void keepsStateOfHigherTicketWhenLowerOneArrivesLater() {
         store.apply(ticket(5, ROTAVIS));
 
         ApplyResult result = store.apply(ticket(3, NO_ROTAVIS));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void keepsRemovalWhenLowerTicketComesLate() {
+    void keepsRemovalWhenLowerTicketArrivesLater() {
         store.apply(ticket(5, NO_ROTAVIS));
 
         store.apply(ticket(3, ROTAVIS));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void alarmsOfTwoContentsUnderOneNumberAndTakesTheSameOneInAnyOrder() {
+    void reportsTwoContentsUnderOneNumberAndKeepsTheSameOneInAnyOrder() {
         Ticket present = ticket(4, ROTAVIS);
         Ticket removed = ticket(4, NO_ROTAVIS);
         ConfigurationStore other = new ConfigurationStore();
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void alarmsOfTwoContentsUnderOneNumberThatTouchDifferentObjects() {
+    void reportsTwoContentsUnderOneNumberThatTouchDifferentObjects() {
         store.apply(ticket(4, ROTAVIS));
 
         ApplyResult result = store.apply(ticket(4, ObjectState.present(server("s-1", "rotavis"))));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void leavesEarlierSnapshotsAsTheyWere() {
+    void doesNotChangeEarlierSnapshots() {
         store.apply(ticket(1, ROTAVIS));
         Configuration before = store.snapshot();
         long digest = before.digest();
@@ -117,7 +117,7 @@
         "PUT, /week, ''",
         "GET, /, ''"
     })
-    void matchesExactPathBeforeLongerPrefixBeforeShorter(String method, String path, String expected) {
+    void prefersExactPathToLongerPrefixToShorterPrefix(String method, String path, String expected) {
         store.apply(ticket(
                 1,
                 ROTAVIS,
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void takesTheRouteOfTheHigherTicketWhenTwoHaveOnePath() {
+    void matchesTheRouteOfTheHigherTicketWhenTwoHaveTheSamePath() {
         store.apply(ticket(9, ROTAVIS, ObjectState.present(route("z", "rotavis", "GET", "/week"))));
 
         store.apply(ticket(8, ObjectState.present(route("a", "rotavis", "GET", "/week"))));
--- a/coppershelf/src/test/java/io/coppershelf/ticket/TestTickets.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/TestTickets.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Makes tickets for tests. */
+/** Creates tickets and their objects for tests. */
 final class TestTickets {
     private TestTickets() {}
 
--- a/coppershelf/src/test/java/io/coppershelf/ticket/TicketDocumentTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/TicketDocumentTest.java
@@ -26,7 +26,7 @@
                                           "largestBody": 4096, "largestAnswer": 4096}}}""";
 
     @Test
-    void readsEveryPartOfValidTicket() {
+    void parsesEveryFieldOfAValidTicket() {
         Ticket ticket = TicketDocument.parse(VALID);
 
         assertThat(ticket.number()).isEqualTo(12);
@@ -62,13 +62,13 @@
     }
 
     @Test
-    void writesFormThatReadsBackAsTheSameTicket() {
+    void writtenDocumentParsesToAnEqualTicket() {
         Ticket ticket = TicketDocument.parse(VALID);
 
-        Ticket again = TicketDocument.parse(TicketDocument.write(ticket));
+        Ticket parsedAgain = TicketDocument.parse(TicketDocument.write(ticket));
 
-        assertThat(again).isEqualTo(ticket);
-        assertThat(TicketDigest.of(again)).isEqualTo(TicketDigest.of(ticket));
+        assertThat(parsedAgain).isEqualTo(ticket);
+        assertThat(TicketDigest.of(parsedAgain)).isEqualTo(TicketDigest.of(ticket));
     }
 
     @ParameterizedTest
@@ -94,7 +94,7 @@
             "rotavis/week":           | "week":                   | must be SERVICE/KIND
             "ticket": 12,             | "ticket": 12              | must be JSON, but line 2
             """)
-    void namesEachProblemWithItsPath(String valid, String invalid, String expected) {
+    void reportsEachProblemWithItsPath(String valid, String invalid, String expected) {
         String text = VALID.replace(valid, invalid);
 
         CoppershelfException failure = assertThrows(CoppershelfException.class, () -> TicketDocument.parse(text));
@@ -111,14 +111,14 @@
             ''                               | is empty
             {"ticket": 3} x                  | must be JSON
             """)
-    void refusesDocumentWithoutContent(String text, String expected) {
+    void rejectsDocumentWithoutContent(String text, String expected) {
         CoppershelfException failure = assertThrows(CoppershelfException.class, () -> TicketDocument.parse(text));
 
         assertThat(failure).hasMessageThat().contains(expected);
     }
 
     @Test
-    void refusesDocumentOverOneMegabyte() {
+    void rejectsDocumentOverOneMegabyte() {
         String text = VALID + " ".repeat(TicketDocument.MAX_DOCUMENT_BYTES);
 
         CoppershelfException failure = assertThrows(CoppershelfException.class, () -> TicketDocument.parse(text));
