--- a/coppershelf/src/main/java/io/coppershelf/peer/FunctionCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/FunctionCodec.java
@@ -5,7 +5,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A codec made of two functions.
+ * A codec that consists of two functions.
  *
  * @param typeId the id of the type on the wire
  * @param type the message type
--- a/coppershelf/src/main/java/io/coppershelf/peer/MessageFields.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/MessageFields.java
@@ -9,7 +9,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads and writes fields that several messages have in common; lengths are checked before memory is taken for them.
+ * Reads and writes fields that several messages have in common; lengths are checked before memory is allocated for
+ * them.
  *
  * <pre>{@code
  * MessageFields.writeList(packer, message.names(), (p, name) -> p.packString(name));
@@ -17,8 +18,8 @@
  * }</pre>
  */
 public final class MessageFields {
-    /** The largest frame between VMs that know each other, in bytes. */
-    public static final int LARGEST_FRAME_BYTES = 4 * 1024 * 1024;
+    /** The maximum size of a frame from a known VM, in bytes. */
+    public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
     private MessageFields() {}
 
@@ -31,7 +32,7 @@
     /**
      * Reads a byte array.
      *
-     * @throws IOException if its length exceeds a frame
+     * @throws IOException if its length exceeds the maximum frame size
      */
     public static byte[] readBytes(MessageUnpacker unpacker) throws IOException {
         return unpacker.readPayload(checkedLength(unpacker.unpackBinaryHeader()));
@@ -78,8 +79,8 @@
     }
 
     private static int checkedLength(int length) throws IOException {
-        if (length > LARGEST_FRAME_BYTES) {
-            throw new IOException("a field of length " + length + " exceeds the largest frame");
+        if (length > MAX_FRAME_BYTES) {
+            throw new IOException("a field of length " + length + " exceeds the maximum frame size");
         }
         return length;
     }
--- a/coppershelf/src/main/java/io/coppershelf/peer/PeerComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/PeerComponent.java
@@ -12,8 +12,9 @@
 import java.util.Optional;
 
 /**
- * The part of the daemon that talks to peers. The settings, the fleet view and the operator desk must be registered
- * before {@link #register} is called on this part, and so must a {@link LinkFilter} where a test wants one.
+ * The component of the daemon that exchanges messages with peers. The settings, the fleet view and the operator
+ * registry must be registered before {@link #register} is called on this component, and so must a {@link LinkFilter} if
+ * a test uses one.
  */
 public final class PeerComponent implements Component {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/coppershelf/src/main/java/io/coppershelf/peer/PeerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/PeerExchange.java
@@ -5,11 +5,11 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends messages to peers and hands received ones to their handlers. Safe for use by several threads. */
+/** Sends messages to peers and passes received ones to their handlers. Thread-safe. */
 public interface PeerExchange {
     ComponentKey<PeerExchange> NAME = ComponentKey.named("peer", PeerExchange.class);
 
-    /** Registers the codec of a message type that is only ever a reply. */
+    /** Registers the codec of a message type that is used for replies only. */
     void register(PeerMessageCodec<?> codec);
 
     /** Registers the codec of a message type and the handler of messages and requests of that type. */
@@ -36,12 +36,12 @@
          *
          * @param sender the id of the VM that sent it
          * @param message the message
-         * @param replies where a reply goes; ignored by the exchange if the sender expects none
+         * @param replies accepts the reply; ignored if the sender expects none
          */
         void handle(String sender, T message, Replies replies);
     }
 
-    /** Takes the reply to a message, once, from any thread. */
+    /** Accepts one reply to a message, from any thread. */
     interface Replies {
         /** Sends the reply. */
         void reply(PeerMessage message);
--- a/coppershelf/src/main/java/io/coppershelf/peer/PeerReply.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/PeerReply.java
@@ -1,6 +1,6 @@
 package io.coppershelf.peer;
 
-/** How a request to a peer ended. */
+/** The result of a request to a peer. */
 public sealed interface PeerReply {
     /**
      * The peer replied.
@@ -9,9 +9,9 @@
      */
     record Received(PeerMessage message) implements PeerReply {}
 
-    /** No byte of the request left this VM, so the peer can't have acted on it. */
+    /** No byte of the request was sent, so the peer can't have acted on it. */
     record NotSent() implements PeerReply {}
 
-    /** The request may have left, but no reply came: timeout or loss of the connection. */
+    /** The request may have been sent, but no reply was received: it timed out or the connection was lost. */
     record Lost() implements PeerReply {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/CodecTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/CodecTable.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ConcurrentMap;
 import org.msgpack.core.MessageUnpacker;
 
-/** The message types of a process with their codecs and handlers. Safe for use by several threads. */
+/** The message types of a process with their codecs and handlers. Thread-safe. */
 final class CodecTable {
     private final ConcurrentMap<Integer, Entry<?>> byTypeId = new ConcurrentHashMap<>();
     private final ConcurrentMap<Class<?>, PeerMessageCodec<?>> byType = new ConcurrentHashMap<>();
@@ -19,7 +19,7 @@
     /**
      * Adds a message type.
      *
-     * @throws IllegalStateException if its id or class is taken
+     * @throws IllegalStateException if its id or class is already registered
      */
     <T extends PeerMessage> void add(PeerMessageCodec<T> codec, Optional<Handler<T>> handler) {
         Entry<?> present = byTypeId.putIfAbsent(codec.typeId(), new Entry<>(codec, handler));
@@ -70,7 +70,7 @@
             return message;
         }
 
-        /** Returns whether the type may be more than a reply. */
+        /** Returns whether messages of the type may be more than replies. */
         boolean hasHandler() {
             return handler.isPresent();
         }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
@@ -14,16 +14,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/**
- * One TCP connection between two VMs. Messages are offered by any thread; all else happens on the thread of the
- * selector.
- */
+/** One TCP connection between two VMs. Any thread may offer messages; everything else runs on the selector thread. */
 final class Connection implements SelectorLoop.ChannelHandler {
-    private static final int QUEUE_LIMIT_BYTES = 8 * 1024 * 1024;
-    private static final int QUEUE_LIMIT_FRAMES = 4096;
+    private static final int MAX_QUEUED_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_QUEUED_FRAMES = 4096;
 
     private final SelectorLoop loop;
-    private final Listener events;
+    private final Listener listener;
     private final Optional<Vm> target;
     private final FrameReader reader = new FrameReader();
     private final FrameWriter writer = new FrameWriter();
@@ -34,36 +31,36 @@
     private boolean isClosed;
     private Optional<SocketChannel> channel = Optional.empty();
     private volatile Optional<Vm> remote = Optional.empty();
-    private volatile long receivedNanos = openedNanos;
-    private volatile long usedNanos = openedNanos;
+    private volatile long lastReceivedNanos = openedNanos;
+    private volatile long lastUsedNanos = openedNanos;
     private boolean isRetired;
 
-    private Connection(SelectorLoop loop, Listener events, Optional<Vm> target) {
+    private Connection(SelectorLoop loop, Listener listener, Optional<Vm> target) {
         this.loop = loop;
-        this.events = events;
+        this.listener = listener;
         this.target = target;
     }
 
     /** Returns a connection to be opened by this VM; {@link #connect} opens it. */
-    static Connection outgoing(SelectorLoop loop, Listener events, Vm target) {
-        return new Connection(loop, events, Optional.of(target));
+    static Connection outgoing(SelectorLoop loop, Listener listener, Vm target) {
+        return new Connection(loop, listener, Optional.of(target));
     }
 
     /** Returns a connection that a peer opened. */
-    static Connection incoming(SelectorLoop loop, Listener events, SocketChannel channel) throws IOException {
-        Connection connection = new Connection(loop, events, Optional.empty());
+    static Connection incoming(SelectorLoop loop, Listener listener, SocketChannel channel) throws IOException {
+        Connection connection = new Connection(loop, listener, Optional.empty());
         connection.channel = Optional.of(channel);
         configure(channel);
         channel.register(loop.selector(), SelectionKey.OP_READ, connection);
         return connection;
     }
 
-    /** Returns the VM that this VM means to reach, empty if the peer opened the connection. */
+    /** Returns the VM to which this VM connects, empty if the peer opened the connection. */
     Optional<Vm> target() {
         return target;
     }
 
-    /** Returns the VM at the other end, once it has introduced itself. */
+    /** Returns the VM at the other end, empty until its hello is received. */
     Optional<Vm> remote() {
         return remote;
     }
@@ -72,12 +69,12 @@
         remote = Optional.of(vm);
     }
 
-    long receivedNanos() {
-        return receivedNanos;
+    long lastReceivedNanos() {
+        return lastReceivedNanos;
     }
 
-    long usedNanos() {
-        return usedNanos;
+    long lastUsedNanos() {
+        return lastUsedNanos;
     }
 
     boolean isConnecting() {
@@ -98,7 +95,7 @@
         return openedNanos;
     }
 
-    /** Takes no further requests; late replies still count. */
+    /** Marks the connection as not to be used for new messages; replies in flight are still received. */
     void retire() {
         isRetired = true;
     }
@@ -115,7 +112,7 @@
     boolean offer(OutboundFrame outbound) {
         synchronized (queue) {
             int size = outbound.frame().remaining();
-            if (isClosed || queue.size() >= QUEUE_LIMIT_FRAMES || queuedBytes + size > QUEUE_LIMIT_BYTES) {
+            if (isClosed || queue.size() >= MAX_QUEUED_FRAMES || queuedBytes + size > MAX_QUEUED_BYTES) {
                 return false;
             }
             if (outbound.isRequest()) {
@@ -124,7 +121,7 @@
             queue.addLast(outbound);
             queuedBytes += size;
         }
-        usedNanos = System.nanoTime();
+        lastUsedNanos = System.nanoTime();
         loop.execute(this::flush);
         return true;
     }
@@ -162,7 +159,10 @@
         close();
     }
 
-    /** Closes the connection; what was queued was not sent, what was begun is lost. */
+    /**
+     * Closes the connection. Queued requests end as not sent, requests that were being written or wait for a reply as
+     * lost.
+     */
     void close() {
         synchronized (queue) {
             if (isClosed) {
@@ -175,7 +175,7 @@
         pending.values().forEach(OutboundFrame::fail);
         pending.clear();
         channel.ifPresent(Connection::closeQuietly);
-        events.closed(this);
+        listener.closed(this);
     }
 
     private boolean isClosed() {
@@ -190,9 +190,9 @@
         }
         SocketChannel open = channel.orElseThrow();
         try {
-            boolean isDone = writer.write(open, this::nextToWrite);
-            int writable = isDone ? 0 : SelectionKey.OP_WRITE;
-            open.keyFor(loop.selector()).interestOps(SelectionKey.OP_READ | writable);
+            boolean isAllWritten = writer.write(open, this::nextToWrite);
+            int writeInterest = isAllWritten ? 0 : SelectionKey.OP_WRITE;
+            open.keyFor(loop.selector()).interestOps(SelectionKey.OP_READ | writeInterest);
         } catch (IOException | RuntimeException e) {
             close();
         }
@@ -203,7 +203,7 @@
             for (OutboundFrame next = queue.pollFirst(); next != null; next = queue.pollFirst()) {
                 queuedBytes -= next.frame().remaining();
                 if (next.beginWrite(System.nanoTime())) {
-                    events.sent(next.frame().remaining());
+                    listener.sent(next.frame().remaining());
                     return Optional.of(next.frame());
                 }
             }
@@ -216,29 +216,29 @@
         int count = channel.orElseThrow().read(input);
         if (count < 0) {
             if (reader.isInsideFrame()) {
-                events.truncated(this);
+                listener.truncated(this);
             }
             close();
             return;
         }
-        receivedNanos = System.nanoTime();
-        usedNanos = receivedNanos;
+        lastReceivedNanos = System.nanoTime();
+        lastUsedNanos = lastReceivedNanos;
         input.flip();
         try {
-            takeFrames(input);
+            readFrames(input);
         } catch (FrameTooLongException e) {
-            events.frameTooLong(this, e);
+            listener.frameTooLong(this, e);
         }
     }
 
-    private void takeFrames(ByteBuffer input) throws FrameTooLongException {
-        Optional<byte[]> frame = reader.next(input, events.frameLimit(this));
+    private void readFrames(ByteBuffer input) throws FrameTooLongException {
+        Optional<byte[]> frame = reader.next(input, listener.frameLimit(this));
         while (frame.isPresent()) {
-            events.received(this, frame.get());
+            listener.received(this, frame.get());
             if (isClosed()) {
                 return;
             }
-            frame = reader.next(input, events.frameLimit(this));
+            frame = reader.next(input, listener.frameLimit(this));
         }
     }
 
@@ -251,22 +251,22 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // The channel is of no further use either way.
+            // The channel is discarded either way.
         }
     }
 
-    /** Hears what happens to connections, on the thread of the selector. */
+    /** Notified of the events of connections, on the selector thread. */
     interface Listener {
-        /** Returns the largest frame that the connection may receive next, in bytes. */
+        /** Returns the maximum size of the next frame that the connection may receive, in bytes. */
         int frameLimit(Connection connection);
 
-        /** A whole frame arrived. */
+        /** A complete frame was received. */
         void received(Connection connection, byte[] frame);
 
         /** A frame of the given size is being written. */
         void sent(int bytes);
 
-        /** The peer announced a frame over the limit. */
+        /** The peer announced a frame that exceeds the limit. */
         void frameTooLong(Connection connection, FrameTooLongException cause);
 
         /** The peer ended the connection inside a frame. */
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/ConnectionPool.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/ConnectionPool.java
@@ -17,8 +17,8 @@
     private static final long OUTGOING_IDLE_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final long INCOMING_IDLE_NANOS = TimeUnit.SECONDS.toNanos(300);
 
-    private final ConcurrentMap<Link, Connection> outgoing = new ConcurrentHashMap<>();
-    private final ConcurrentMap<Link, Long> failedNanos = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Endpoint, Connection> outgoing = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Endpoint, Long> connectFailureNanos = new ConcurrentHashMap<>();
     private final Set<Connection> all = ConcurrentHashMap.newKeySet();
     private final Function<Vm, Connection> opener;
     private final Predicate<Vm> isReplaced;
@@ -26,7 +26,7 @@
     /**
      * Creates an empty pool.
      *
-     * @param opener begins to open a connection
+     * @param opener starts to open a connection
      * @param isReplaced whether a later incarnation of the VM is known
      */
     ConnectionPool(Function<Vm, Connection> opener, Predicate<Vm> isReplaced) {
@@ -36,12 +36,12 @@
 
     /** Returns the connection to use for the peer, empty right after a failure to connect. */
     Optional<Connection> connectionTo(Vm target) {
-        Link link = Link.to(target);
-        Long failed = failedNanos.get(link);
-        if (failed != null && System.nanoTime() - failed < RECONNECT_DELAY_NANOS) {
+        Endpoint endpoint = Endpoint.to(target);
+        Long failureNanos = connectFailureNanos.get(endpoint);
+        if (failureNanos != null && System.nanoTime() - failureNanos < RECONNECT_DELAY_NANOS) {
             return Optional.empty();
         }
-        return Optional.of(outgoing.computeIfAbsent(link, absent -> open(target)));
+        return Optional.of(outgoing.computeIfAbsent(endpoint, absent -> open(target)));
     }
 
     void add(Connection connection) {
@@ -56,24 +56,24 @@
         return all.stream().anyMatch(connection -> !connection.pending().isEmpty());
     }
 
-    /** Forgets a closed connection. */
+    /** Removes a closed connection. */
     void remove(Connection connection) {
         all.remove(connection);
         connection.target().ifPresent(target -> {
-            Link link = Link.to(target);
-            outgoing.remove(link, connection);
+            Endpoint endpoint = Endpoint.to(target);
+            outgoing.remove(endpoint, connection);
             if (connection.isHandshakePending()) {
-                failedNanos.put(link, System.nanoTime());
+                connectFailureNanos.put(endpoint, System.nanoTime());
             }
         });
     }
 
-    /** Ends expired requests and closes connections that are of no more use. */
+    /** Fails expired requests and closes connections that are no longer needed. */
     void sweep(long nowNanos) {
-        failedNanos.values().removeIf(failed -> nowNanos - failed >= RECONNECT_DELAY_NANOS);
+        connectFailureNanos.values().removeIf(failureNanos -> nowNanos - failureNanos >= RECONNECT_DELAY_NANOS);
         for (Connection connection : all) {
             expireRequests(connection, nowNanos);
-            if (isUseless(connection, nowNanos)) {
+            if (shouldClose(connection, nowNanos)) {
                 connection.close();
             }
         }
@@ -96,19 +96,22 @@
             }
             connection.pending().remove(request.correlationId());
             request.fail();
-            if (connection.receivedNanos() - request.createdNanos() < 0) {
+            if (connection.lastReceivedNanos() - request.createdNanos() < 0) {
                 retire(connection);
             }
         }
     }
 
-    /** A silent connection may be half open: new messages go by a new one, replies under way still arrive here. */
+    /**
+     * Retires a connection on which nothing was received since an expired request: it may be half open. New messages
+     * use a new connection; replies in flight are still received on this one.
+     */
     private void retire(Connection connection) {
         connection.retire();
-        connection.target().ifPresent(target -> outgoing.remove(Link.to(target), connection));
+        connection.target().ifPresent(target -> outgoing.remove(Endpoint.to(target), connection));
     }
 
-    private boolean isUseless(Connection connection, long nowNanos) {
+    private boolean shouldClose(Connection connection, long nowNanos) {
         if (connection.isConnecting() && nowNanos - connection.openedNanos() >= CONNECT_TIMEOUT_NANOS) {
             return true;
         }
@@ -119,13 +122,13 @@
             return true;
         }
         long idleNanos = connection.target().isPresent() ? OUTGOING_IDLE_NANOS : INCOMING_IDLE_NANOS;
-        return connection.isIdle() && (connection.isRetired() || nowNanos - connection.usedNanos() >= idleNanos);
+        return connection.isIdle() && (connection.isRetired() || nowNanos - connection.lastUsedNanos() >= idleNanos);
     }
 
-    /** What a connection leads to; another incarnation needs another connection. */
-    private record Link(String id, long incarnation, String host, int peerPort) {
-        static Link to(Vm vm) {
-            return new Link(vm.id(), vm.incarnation(), vm.host(), vm.peerPort());
+    /** The remote end of a connection; another incarnation of a VM needs another connection. */
+    private record Endpoint(String id, long incarnation, String host, int peerPort) {
+        static Endpoint to(Vm vm) {
+            return new Endpoint(vm.id(), vm.incarnation(), vm.host(), vm.peerPort());
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Envelope.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Envelope.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * What surrounds each message on the wire.
+ * The fields that precede each message on the wire.
  *
  * @param typeId the type of the message
  * @param correlationId the id that a reply repeats, 0 if no reply is expected
@@ -17,7 +17,7 @@
  * @param stamp the hybrid logical clock of the sender
  */
 record Envelope(int typeId, long correlationId, Kind kind, long stamp) {
-    /** What a message is within an exchange. */
+    /** The role of a message in an exchange. */
     enum Kind {
         ONE_WAY(0),
         REQUEST(1),
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/FrameReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/FrameReader.java
@@ -3,17 +3,17 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 
-/** Cuts the bytes of one connection into frames: a length of four bytes, then as many bytes. */
+/** Splits the bytes of one connection into frames: a length of four bytes, then as many bytes. */
 final class FrameReader {
     private final ByteBuffer length = ByteBuffer.allocate(Integer.BYTES);
     private Optional<byte[]> body = Optional.empty();
     private int filled;
 
     /**
-     * Takes bytes until a frame is whole or the input is used up.
+     * Reads bytes until a frame is complete or the input is exhausted.
      *
      * @param input the bytes received
-     * @param limit the largest body of the next frame in bytes
+     * @param limit the maximum size of the body of the next frame in bytes
      * @return the body of the frame, empty if more bytes are needed
      * @throws FrameTooLongException if the next frame exceeds the limit or has a negative length
      */
@@ -32,7 +32,7 @@
         return Optional.of(present);
     }
 
-    /** Returns whether a frame has begun and is not whole. */
+    /** Returns whether a frame has begun and is incomplete. */
     boolean isInsideFrame() {
         return body.isPresent() || length.position() > 0;
     }
@@ -54,7 +54,7 @@
         return true;
     }
 
-    /** Signals a frame that is longer than the connection may send. */
+    /** Thrown when a frame is longer than the connection may send. */
     static final class FrameTooLongException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/FrameWriter.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/FrameWriter.java
@@ -8,30 +8,30 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Writes frames to a channel that may take only part of them at a time. */
+/** Writes frames to a channel that may accept only part of them at a time. */
 final class FrameWriter {
-    private static final int FRAMES_AT_ONCE = 32;
+    private static final int MAX_FRAMES_PER_WRITE = 32;
 
-    private final Deque<ByteBuffer> begun = new ArrayDeque<>();
+    private final Deque<ByteBuffer> unwritten = new ArrayDeque<>();
     private volatile boolean isWriting;
 
-    /** Returns whether frames are begun and not wholly written. */
+    /** Returns whether frames have been fetched from the source but not completely written. */
     boolean isWriting() {
         return isWriting;
     }
 
     /**
-     * Writes as much as the channel takes.
+     * Writes as much as the channel accepts.
      *
-     * @param source gives the next frame, empty if there is none
+     * @param source returns the next frame, empty if there is none
      * @return whether all frames are written
      */
     boolean write(GatheringByteChannel channel, Supplier<Optional<ByteBuffer>> source) throws IOException {
         isWriting = true;
         while (fill(source)) {
-            channel.write(begun.toArray(ByteBuffer[]::new));
-            begun.removeIf(frame -> !frame.hasRemaining());
-            if (!begun.isEmpty()) {
+            channel.write(unwritten.toArray(ByteBuffer[]::new));
+            unwritten.removeIf(frame -> !frame.hasRemaining());
+            if (!unwritten.isEmpty()) {
                 return false;
             }
         }
@@ -40,13 +40,13 @@
     }
 
     private boolean fill(Supplier<Optional<ByteBuffer>> source) {
-        while (begun.size() < FRAMES_AT_ONCE) {
+        while (unwritten.size() < MAX_FRAMES_PER_WRITE) {
             Optional<ByteBuffer> next = source.get();
             if (next.isEmpty()) {
                 break;
             }
-            begun.addLast(next.get());
+            unwritten.addLast(next.get());
         }
-        return !begun.isEmpty();
+        return !unwritten.isEmpty();
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
@@ -26,11 +26,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The exchange over TCP sockets, read and written by one selector thread. */
+/** The peer exchange over TCP sockets, which one selector thread reads and writes. */
 public final class NioPeerExchange implements PeerExchange {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int UNKNOWN_SENDER_FRAME_BYTES = 64 * 1024;
-    private static final int HELLO_FRAME_BYTES = 1024;
+    private static final int MAX_UNKNOWN_SENDER_FRAME_BYTES = 64 * 1024;
+    private static final int MAX_HELLO_FRAME_BYTES = 1024;
     private static final long ONE_WAY_EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final CodecTable codecs = new CodecTable();
@@ -41,14 +41,14 @@
     private final SelectorLoop loop;
     private final ConnectionPool pool;
     private final Receiver receiver;
-    private final AtomicLong correlation = new AtomicLong();
+    private final AtomicLong correlationIds = new AtomicLong();
     private final PeerClock clock = new PeerClock();
-    private Optional<ServerSocketChannel> server = Optional.empty();
+    private Optional<ServerSocketChannel> serverChannel = Optional.empty();
 
     /**
      * Creates an exchange that does not listen yet.
      *
-     * @param fleet the VMs that count as known, and this VM
+     * @param fleet provides this VM and the VMs that count as known
      * @param trafficThreads the number of threads for handlers
      */
     public NioPeerExchange(FleetView.Source fleet, LinkFilter filter, PrometheusRegistry registry, int trafficThreads) {
@@ -81,7 +81,7 @@
             channel.configureBlocking(false);
             channel.bind(new InetSocketAddress(host, port), 1024);
             channel.register(loop.selector(), SelectionKey.OP_ACCEPT, new Acceptor(channel));
-            server = Optional.of(channel);
+            serverChannel = Optional.of(channel);
             loop.start();
             return channel.socket().getLocalPort();
         } catch (IOException e) {
@@ -89,10 +89,10 @@
         }
     }
 
-    /** Closes all connections and ends the threads. */
+    /** Closes all connections and stops the threads. */
     public void close() {
         loop.execute(() -> {
-            server.ifPresent(NioPeerExchange::closeQuietly);
+            serverChannel.ifPresent(NioPeerExchange::closeQuietly);
             pool.closeAll();
         });
         loop.stop();
@@ -115,7 +115,8 @@
         long now = System.nanoTime();
         if (!isTooLong(frame) && filter.passes(self().id(), target.id())) {
             pool.connectionTo(target)
-                    .ifPresent(link -> link.offer(OutboundFrame.oneWay(frame, now, now + ONE_WAY_EXPIRY_NANOS)));
+                    .ifPresent(connection ->
+                            connection.offer(OutboundFrame.oneWay(frame, now, now + ONE_WAY_EXPIRY_NANOS)));
         }
     }
 
@@ -126,7 +127,7 @@
             receiver.handleLocally(self().id(), message, reply -> result.complete(new PeerReply.Received(reply)));
             return result.completeOnTimeout(new PeerReply.Lost(), timeout.toNanos(), TimeUnit.NANOSECONDS);
         }
-        long id = correlation.incrementAndGet();
+        long id = correlationIds.incrementAndGet();
         ByteBuffer frame = codecs.frame(message, id, Envelope.Kind.REQUEST, clock.stamp());
         if (!filter.passes(self().id(), target.id())) {
             return result.completeOnTimeout(new PeerReply.Lost(), timeout.toNanos(), TimeUnit.NANOSECONDS);
@@ -135,14 +136,16 @@
         OutboundFrame outbound = OutboundFrame.request(
                 frame, id, now, now + timeout.toNanos(), reply -> traffic.execute(() -> result.complete(reply)));
         if (isTooLong(frame)
-                || !pool.connectionTo(target).map(link -> link.offer(outbound)).orElse(false)) {
+                || !pool.connectionTo(target)
+                        .map(connection -> connection.offer(outbound))
+                        .orElse(false)) {
             outbound.fail();
         }
         return result;
     }
 
     private boolean isTooLong(ByteBuffer frame) {
-        boolean isTooLong = frame.remaining() - Integer.BYTES > MessageFields.LARGEST_FRAME_BYTES;
+        boolean isTooLong = frame.remaining() - Integer.BYTES > MessageFields.MAX_FRAME_BYTES;
         if (isTooLong) {
             metrics.dropped(DropReason.FRAME_TOO_LONG, self().id(), "a message of this VM");
         }
@@ -154,7 +157,7 @@
     }
 
     private Connection open(Vm target) {
-        Connection connection = Connection.outgoing(loop, events(), target);
+        Connection connection = Connection.outgoing(loop, connectionListener(), target);
         connection.offer(helloTo(target.id(), target.incarnation()));
         loop.execute(connection::connect);
         return connection;
@@ -174,8 +177,8 @@
                 .isPresent();
     }
 
-    private Connection.Listener events() {
-        return new ConnectionEvents();
+    private Connection.Listener connectionListener() {
+        return new ConnectionListener();
     }
 
     private static Selector openSelector() {
@@ -194,16 +197,16 @@
         }
     }
 
-    /** Feeds what connections hear to the receiver. */
-    private final class ConnectionEvents implements Connection.Listener {
+    /** Passes the events of connections to the receiver. */
+    private final class ConnectionListener implements Connection.Listener {
         @Override
         public int frameLimit(Connection connection) {
             if (connection.isHandshakePending()) {
-                return HELLO_FRAME_BYTES;
+                return MAX_HELLO_FRAME_BYTES;
             }
             boolean isTrusted = connection.target().isPresent()
                     || receiver.isKnown(connection.remote().orElseThrow());
-            return isTrusted ? MessageFields.LARGEST_FRAME_BYTES : UNKNOWN_SENDER_FRAME_BYTES;
+            return isTrusted ? MessageFields.MAX_FRAME_BYTES : MAX_UNKNOWN_SENDER_FRAME_BYTES;
         }
 
         @Override
@@ -214,11 +217,11 @@
                 return;
             }
             Optional<Hello> hello = receiver.readHello(connection, frame);
-            hello.ifPresent(accepted -> {
-                connection.setRemote(accepted.sender());
+            hello.ifPresent(received -> {
+                connection.setRemote(received.sender());
                 if (connection.target().isEmpty()) {
                     connection.offer(
-                            helloTo(accepted.sender().id(), accepted.sender().incarnation()));
+                            helloTo(received.sender().id(), received.sender().incarnation()));
                 }
             });
         }
@@ -244,7 +247,7 @@
         }
     }
 
-    /** Takes connections of peers. */
+    /** Accepts connections of peers. */
     private final class Acceptor implements SelectorLoop.ChannelHandler {
         private final ServerSocketChannel channel;
 
@@ -254,8 +257,8 @@
 
         @Override
         public void onReady(SelectionKey key) throws IOException {
-            for (SocketChannel taken = channel.accept(); taken != null; taken = channel.accept()) {
-                pool.add(Connection.incoming(loop, events(), taken));
+            for (SocketChannel accepted = channel.accept(); accepted != null; accepted = channel.accept()) {
+                pool.add(Connection.incoming(loop, connectionListener(), accepted));
             }
         }
 
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/OutboundFrame.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/OutboundFrame.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * A frame on its way out. Whether a byte of it may have left is decided once: by {@link #beginWrite} right before its
- * first write, or by {@link #fail}, whichever is first.
+ * A frame to be sent. Whether a byte of it may have been sent is decided once, by the first call of
+ * {@link #beginWrite}, right before its first write, or {@link #fail}.
  */
 final class OutboundFrame {
     private enum State {
@@ -42,7 +42,7 @@
         return new OutboundFrame(frame, 0, nowNanos, expiryNanos, Optional.empty());
     }
 
-    /** Returns a request whose end the listener hears once. */
+    /** Returns a request; the listener is notified once of its result. */
     static OutboundFrame request(
             ByteBuffer frame, long correlationId, long nowNanos, long expiryNanos, Consumer<PeerReply> listener) {
         return new OutboundFrame(frame, correlationId, nowNanos, expiryNanos, Optional.of(listener));
@@ -68,7 +68,7 @@
         return nowNanos - expiryNanos >= 0;
     }
 
-    /** Returns whether the frame is to be written now; no later failure of it counts as not sent. */
+    /** Returns whether to write the frame now; after that, a failure no longer counts as not sent. */
     boolean beginWrite(long nowNanos) {
         if (isExpired(nowNanos)) {
             fail();
@@ -80,17 +80,17 @@
     /** Ends the exchange with a reply. */
     void complete(PeerReply.Received received) {
         if (state.getAndSet(State.ENDED) != State.ENDED) {
-            listener.ifPresent(heard -> heard.accept(received));
+            listener.ifPresent(present -> present.accept(received));
         }
     }
 
-    /** Ends the exchange without a reply: not sent if no byte can have left, else lost. */
+    /** Ends the exchange without a reply: as not sent if no byte can have been sent, else as lost. */
     void fail() {
         State before = state.getAndSet(State.ENDED);
         if (before == State.ENDED) {
             return;
         }
         PeerReply result = before == State.QUEUED ? new PeerReply.NotSent() : new PeerReply.Lost();
-        listener.ifPresent(heard -> heard.accept(result));
+        listener.ifPresent(present -> present.accept(result));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/PeerClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/PeerClock.java
@@ -3,7 +3,10 @@
 import io.coppershelf.operator.HybridClock;
 import java.util.Optional;
 
-/** The hybrid logical clock of the process as far as messages carry it; the stamp is 0 until there is one. */
+/**
+ * Stamps messages with the hybrid logical clock of the process and advances it by received stamps. Until a clock is
+ * set, the stamp is 0.
+ */
 final class PeerClock {
     private volatile Optional<HybridClock> clock = Optional.empty();
 
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/PeerMetrics.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/PeerMetrics.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 
-/** Counts what the exchange sends, receives and drops. */
+/** Counts the messages that the exchange sends, receives and drops. */
 public final class PeerMetrics {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private static final CharMatcher PRINTABLE = CharMatcher.inRange(' ', '~');
-    private static final int LOGGED_CHARACTERS = 200;
+    private static final int MAX_LOGGED_CHARACTERS = 200;
 
     private final Counter messages;
     private final Counter bytes;
@@ -56,7 +56,7 @@
         bytes.labelValues("received").inc(size);
     }
 
-    /** Counts a drop; logs it once a minute at most for each reason. */
+    /** Counts a drop, and logs at most one a minute for each reason. */
     void dropped(DropReason reason, String peer, String detail) {
         dropped.labelValues(reason.label()).inc();
         logger.atWarning()
@@ -65,8 +65,8 @@
                 .log("[peer] Dropped a message of %s: %s, %s.", printable(peer), reason.label(), printable(detail));
     }
 
-    /** Keeps what a peer wrote from breaking or flooding the log. */
+    /** Removes unprintable characters and limits the length, so that text from a peer can't break or flood the log. */
     private static String printable(String text) {
-        return PRINTABLE.retainFrom(text.substring(0, Math.min(text.length(), LOGGED_CHARACTERS)));
+        return PRINTABLE.retainFrom(text.substring(0, Math.min(text.length(), MAX_LOGGED_CHARACTERS)));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Receiver.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Receiver.java
@@ -14,9 +14,12 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Checks, decodes and hands on what peers send. Whatever is wrong is dropped, and its connection closed. */
+/**
+ * Checks and decodes the messages of peers and passes them to their handlers. An invalid message is dropped and its
+ * connection closed.
+ */
 final class Receiver {
-    /** Message types below this one are open to senders that this VM does not know: introduction and membership. */
+    /** Message types below this id are accepted also from unknown senders: hello and membership. */
     private static final int FIRST_TYPE_FOR_KNOWN_SENDERS = 20;
 
     private static final long REPLY_EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(60);
@@ -43,7 +46,9 @@
         this.clock = clock;
     }
 
-    /** Returns whether the view in force contains this incarnation of the VM, or the VM with none known yet. */
+    /**
+     * Returns whether the fleet view contains this incarnation of the VM, or the VM with a still unknown incarnation.
+     */
     boolean isKnown(Vm vm) {
         return fleet.current()
                 .vm(vm.id())
@@ -51,7 +56,9 @@
                 .isPresent();
     }
 
-    /** Reads the first frame of a connection; drops the connection and returns empty if it is not a fitting hello. */
+    /**
+     * Reads the first frame of a connection; drops the connection and returns empty if it is not a valid hello for it.
+     */
     Optional<Hello> readHello(Connection connection, byte[] frame) {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
             Envelope envelope = Envelope.read(unpacker);
@@ -62,27 +69,28 @@
             if (hello.version() != Hello.VERSION) {
                 throw new IOException("version " + hello.version() + "; expected " + Hello.VERSION);
             }
-            Optional<DropReason> refusal = refusal(connection, hello);
-            refusal.ifPresent(reason -> drop(connection, reason, hello.sender().id()));
-            return refusal.isPresent() ? Optional.empty() : Optional.of(hello);
+            Optional<DropReason> dropReason = findDropReason(connection, hello);
+            dropReason.ifPresent(
+                    reason -> drop(connection, reason, hello.sender().id()));
+            return dropReason.isPresent() ? Optional.empty() : Optional.of(hello);
         } catch (IOException | RuntimeException e) {
             drop(connection, DropReason.GARBLED, e.toString());
             return Optional.empty();
         }
     }
 
-    /** Takes one frame after the hello. */
+    /** Handles one frame after the hello. */
     void receive(Connection connection, byte[] frame) {
         String sender = connection.remote().orElseThrow().id();
         if (!filter.passes(sender, fleet.current().self().id())) {
             return;
         }
         if (!traffic.offer(() -> decode(connection, frame))) {
-            metrics.dropped(DropReason.BACKLOG_FULL, sender, "too many messages wait");
+            metrics.dropped(DropReason.BACKLOG_FULL, sender, "too many messages are queued");
         }
     }
 
-    /** Hands a message of this VM to its own handler. */
+    /** Passes a message of this VM to its own handler. */
     void handleLocally(String self, PeerMessage message, Replies replies) {
         CodecTable.Entry<?> entry = codecs.entryOf(message)
                 .orElseThrow(() -> new IllegalStateException("no codec is registered for " + message.getClass()));
@@ -95,12 +103,12 @@
         connection.close();
     }
 
-    private Optional<DropReason> refusal(Connection connection, Hello hello) {
+    private Optional<DropReason> findDropReason(Connection connection, Hello hello) {
         Vm self = fleet.current().self();
-        boolean isForSelf = isMeant(hello.target(), hello.targetIncarnation(), self);
+        boolean isForSelf = matches(hello.target(), hello.targetIncarnation(), self);
         boolean isFromTarget = connection
                 .target()
-                .map(target -> isMeant(target.id(), target.incarnation(), hello.sender()))
+                .map(target -> matches(target.id(), target.incarnation(), hello.sender()))
                 .orElse(true);
         if (!isForSelf || !isFromTarget) {
             return Optional.of(DropReason.WRONG_TARGET);
@@ -112,7 +120,7 @@
         return isOld ? Optional.of(DropReason.OLD_INCARNATION) : Optional.empty();
     }
 
-    private static boolean isMeant(String id, long incarnation, Vm vm) {
+    private static boolean matches(String id, long incarnation, Vm vm) {
         return id.isEmpty() || (id.equals(vm.id()) && (incarnation == 0 || incarnation == vm.incarnation()));
     }
 
@@ -127,7 +135,7 @@
             }
             clock.observe(envelope.stamp());
             if (envelope.kind() == Envelope.Kind.REPLY) {
-                takeReply(connection, envelope, entry.get(), unpacker);
+                completeRequest(connection, envelope, entry.get(), unpacker);
                 return;
             }
             if (envelope.typeId() >= FIRST_TYPE_FOR_KNOWN_SENDERS && !isKnown(sender)) {
@@ -140,7 +148,7 @@
         }
     }
 
-    private void takeReply(
+    private void completeRequest(
             Connection connection, Envelope envelope, CodecTable.Entry<?> entry, MessageUnpacker unpacker)
             throws IOException {
         PeerMessage message = entry.read(unpacker);
@@ -157,7 +165,7 @@
     private void handle(Connection connection, Envelope envelope, CodecTable.Entry<?> entry, MessageUnpacker unpacker)
             throws IOException {
         if (!entry.hasHandler()) {
-            throw new IOException("type " + envelope.typeId() + " is only ever a reply");
+            throw new IOException("type " + envelope.typeId() + " is valid only as a reply");
         }
         PeerMessage message = entry.read(unpacker);
         String sender = connection.remote().orElseThrow().id();
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
@@ -12,19 +12,19 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BooleanSupplier;
 
-/** The one thread that reads and writes the sockets of peers. */
+/** The single thread that reads and writes the sockets of peers. */
 final class SelectorLoop {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int READ_BYTES = 64 * 1024;
-    private static final long BUSY_SWEEP_MILLIS = 10;
-    private static final long IDLE_SWEEP_MILLIS = 250;
+    private static final int READ_BUFFER_BYTES = 64 * 1024;
+    private static final long BUSY_SWEEP_INTERVAL_MILLIS = 10;
+    private static final long IDLE_SWEEP_INTERVAL_MILLIS = 250;
 
     private final Selector selector;
-    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
     private final Runnable sweep;
     private final BooleanSupplier isBusy;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean isWoken = new AtomicBoolean();
+    private final AtomicBoolean isWakeupPending = new AtomicBoolean();
     private final Thread thread = new Thread(this::run, "peer-io");
     private volatile boolean isStopping;
     private long lastSweepNanos = System.nanoTime();
@@ -32,8 +32,8 @@
     /**
      * Creates a loop that is not yet running.
      *
-     * @param sweep run on the thread of the loop, at short intervals while busy
-     * @param isBusy whether exchanges are under way
+     * @param sweep run on the thread of the loop, at shorter intervals while busy
+     * @param isBusy whether requests are in flight
      */
     SelectorLoop(Selector selector, Runnable sweep, BooleanSupplier isBusy) {
         this.selector = selector;
@@ -47,7 +47,8 @@
     }
 
     /**
-     * Returns the one buffer into which all channels are read, cleared; its content is used up before the next read.
+     * Clears and returns the buffer into which all channels are read; its content must be consumed before the next
+     * read.
      */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
@@ -60,12 +61,12 @@
     /** Runs the task on the thread of the loop. */
     void execute(Runnable task) {
         tasks.add(task);
-        if (isWoken.compareAndSet(false, true)) {
+        if (isWakeupPending.compareAndSet(false, true)) {
             selector.wakeup();
         }
     }
 
-    /** Ends the thread after the tasks that were submitted before. */
+    /** Stops the thread after the tasks that were submitted before. */
     void stop() {
         execute(() -> isStopping = true);
         try {
@@ -78,16 +79,16 @@
     private void run() {
         while (!isStopping) {
             try {
-                turn();
+                runOnce();
             } catch (IOException | RuntimeException e) {
                 logger.atSevere().withCause(e).atMostEvery(1, TimeUnit.MINUTES).log("[peer] The selector failed.");
             }
         }
     }
 
-    private void turn() throws IOException {
-        selector.select(isBusy.getAsBoolean() ? BUSY_SWEEP_MILLIS : IDLE_SWEEP_MILLIS);
-        isWoken.set(false);
+    private void runOnce() throws IOException {
+        selector.select(isBusy.getAsBoolean() ? BUSY_SWEEP_INTERVAL_MILLIS : IDLE_SWEEP_INTERVAL_MILLIS);
+        isWakeupPending.set(false);
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
         }
@@ -95,24 +96,24 @@
             handle(key);
         }
         selector.selectedKeys().clear();
-        if (System.nanoTime() - lastSweepNanos >= TimeUnit.MILLISECONDS.toNanos(BUSY_SWEEP_MILLIS)) {
+        if (System.nanoTime() - lastSweepNanos >= TimeUnit.MILLISECONDS.toNanos(BUSY_SWEEP_INTERVAL_MILLIS)) {
             lastSweepNanos = System.nanoTime();
             sweep.run();
         }
     }
 
     private static void handle(SelectionKey key) {
-        ChannelHandler ready = (ChannelHandler) key.attachment();
+        ChannelHandler handler = (ChannelHandler) key.attachment();
         try {
-            ready.onReady(key);
+            handler.onReady(key);
         } catch (IOException | CancelledKeyException e) {
-            ready.onFailure();
+            handler.onFailure();
         }
     }
 
-    /** What waits for a channel; called on the thread of the loop. */
+    /** Handles the operations of a channel, on the thread of the loop. */
     interface ChannelHandler {
-        /** Uses the channel as far as it is ready. */
+        /** Performs the operations for which the channel is ready. */
         void onReady(SelectionKey key) throws IOException;
 
         /** Closes the channel after a failure. */
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/TrafficThreads.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/TrafficThreads.java
@@ -9,7 +9,7 @@
 /** The threads on which messages are decoded and handled and replies are completed. */
 final class TrafficThreads {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int BACKLOG_LIMIT = 20_000;
+    private static final int MAX_BACKLOG = 20_000;
 
     private final ExecutorService executor;
     private final AtomicInteger backlog = new AtomicInteger();
@@ -23,24 +23,24 @@
         });
     }
 
-    /** Runs the task, or returns false if too many wait. */
+    /** Runs the task, or returns false if too many tasks are queued. */
     boolean offer(Runnable task) {
-        if (backlog.get() >= BACKLOG_LIMIT) {
+        if (backlog.get() >= MAX_BACKLOG) {
             return false;
         }
         execute(task);
         return true;
     }
 
-    /** Runs the task, however many wait; after {@link #stop} on the calling thread. */
+    /** Runs the task, however many are queued; after {@link #stop}, on the calling thread. */
     void execute(Runnable task) {
         backlog.incrementAndGet();
-        Runnable guarded = () -> run(task);
+        Runnable countedTask = () -> run(task);
         if (executor.isShutdown()) {
-            guarded.run();
+            countedTask.run();
             return;
         }
-        executor.execute(guarded);
+        executor.execute(countedTask);
     }
 
     void stop() {
--- a/coppershelf/src/test/java/io/coppershelf/ExamplesTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/ExamplesTest.java
@@ -25,7 +25,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"association", "syrmatourgia"})
-    void ticketsAreValidAndMakeAWholeConfigurationAfterEachChange(String customer) throws IOException {
+    void ticketsAreValidAndTheConfigurationHasNoProblemsAfterEachChange(String customer) throws IOException {
         ConfigurationStore store = new ConfigurationStore();
         List<Path> files = Stream.concat(files(customer, "tickets").stream(), files(customer, "changes").stream())
                 .toList();
@@ -68,23 +68,25 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"association", "syrmatourgia"})
-    void settingsAreValidAndAgreeWithTheListOfVms(String customer) throws IOException {
+    void settingsAreValidAndMatchTheVmList(String customer) throws IOException {
         JsonNode vms = JsonMapper.builder()
                 .build()
                 .readTree(EXAMPLES.resolve(customer).resolve("vms.json").toFile())
                 .path("vms");
 
-        List<Settings> all =
+        List<Settings> allSettings =
                 files(customer, "settings").stream().map(SettingsFile::read).toList();
 
-        assertThat(all).hasSize(vms.size());
+        assertThat(allSettings).hasSize(vms.size());
         for (JsonNode vm : vms) {
-            assertThat(all.stream().filter(settings -> isOf(settings, vm)).count())
+            assertThat(allSettings.stream()
+                            .filter(settings -> belongsTo(settings, vm))
+                            .count())
                     .isEqualTo(1);
         }
     }
 
-    private static boolean isOf(Settings settings, JsonNode vm) {
+    private static boolean belongsTo(Settings settings, JsonNode vm) {
         return settings.vm().equals(vm.path("id").asText())
                 && settings.dataCentre().equals(vm.path("dataCentre").asText())
                 && settings.host().equals(vm.path("host").asText())
--- a/coppershelf/src/test/java/io/coppershelf/peer/internal/BadPeerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/peer/internal/BadPeerTest.java
@@ -27,11 +27,11 @@
 
 class BadPeerTest {
     private static final Vm KNOWN = new Vm("known", 1, "viborg", "127.0.0.1", 1, 1, false);
-    private static final Vm STRANGER = new Vm("stranger", 1, "viborg", "127.0.0.1", 1, 1, false);
+    private static final Vm UNKNOWN = new Vm("stranger", 1, "viborg", "127.0.0.1", 1, 1, false);
     private static final Vm OLD = new Vm("known", 0, "viborg", "127.0.0.1", 1, 1, false);
 
     private final ExchangeFixture fixture = new ExchangeFixture();
-    private final Queue<String> heard = new ConcurrentLinkedQueue<>();
+    private final Queue<String> receivedTexts = new ConcurrentLinkedQueue<>();
 
     @AfterEach
     void close() {
@@ -50,8 +50,8 @@
                 Arguments.of("another target", hello(1, KNOWN, "other"), DropReason.WRONG_TARGET),
                 Arguments.of("an old incarnation", hello(1, OLD, "target"), DropReason.OLD_INCARNATION),
                 Arguments.of("a frame over 4 MB", after(KNOWN, header(4194305)), DropReason.FRAME_TOO_LONG),
-                Arguments.of("a stranger's long frame", after(STRANGER, header(65537)), DropReason.FRAME_TOO_LONG),
-                Arguments.of("a stranger's message", after(STRANGER, whole), DropReason.UNKNOWN_SENDER),
+                Arguments.of("a stranger's long frame", after(UNKNOWN, header(65537)), DropReason.FRAME_TOO_LONG),
+                Arguments.of("a stranger's message", after(UNKNOWN, whole), DropReason.UNKNOWN_SENDER),
                 Arguments.of(
                         "an unknown type",
                         after(KNOWN, message(99, Envelope.Kind.ONE_WAY, "x")),
@@ -69,7 +69,8 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("badConnections")
-    void dropsAndCountsWhatIsWrongAndServesOn(String what, byte[] bytes, DropReason reason) throws IOException {
+    void dropsAndCountsInvalidInputAndKeepsServing(String description, byte[] bytes, DropReason reason)
+            throws IOException {
         Member target = target();
 
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), target.vm.peerPort())) {
@@ -78,7 +79,7 @@
             Conditions.await(() -> target.dropped(reason) >= 1);
         }
 
-        assertThat(heard).isEmpty();
+        assertThat(receivedTexts).isEmpty();
         Member peer = fixture.member("peer", LinkFilter.ALL);
         fixture.addToFleet(peer.vm);
         peer.exchange.register(new TextCodec(21));
@@ -102,7 +103,7 @@
             }
         }
         Conditions.await(() -> target.dropped(DropReason.GARBLED) + target.dropped(DropReason.UNKNOWN_TYPE) == 200);
-        assertThat(heard).isEmpty();
+        assertThat(receivedTexts).isEmpty();
     }
 
     private Member target() {
@@ -110,7 +111,7 @@
         fixture.addToFleet(member.vm);
         fixture.addToFleet(KNOWN);
         member.exchange.register(new TextCodec(21), (from, message, replies) -> {
-            heard.add(message.text());
+            receivedTexts.add(message.text());
             replies.reply(new Text("fine"));
         });
         return member;
--- a/coppershelf/src/test/java/io/coppershelf/peer/internal/ExchangeFixture.java
+++ b/coppershelf/src/test/java/io/coppershelf/peer/internal/ExchangeFixture.java
@@ -17,7 +17,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Exchanges over real sockets whose fleet views the test sets. */
+/** Peer exchanges over real sockets, with fleet views that the test sets. */
 final class ExchangeFixture implements AutoCloseable {
     private final Map<String, Vm> known = new ConcurrentHashMap<>();
     private final List<Member> members = new ArrayList<>();
@@ -37,7 +37,7 @@
         members.forEach(member -> member.exchange.close());
     }
 
-    /** One exchange. */
+    /** One VM with its exchange. */
     final class Member implements FleetView.Source {
         final PrometheusRegistry registry = new PrometheusRegistry();
         final NioPeerExchange exchange;
--- a/coppershelf/src/test/java/io/coppershelf/peer/internal/NioPeerExchangeTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/peer/internal/NioPeerExchangeTest.java
@@ -24,7 +24,7 @@
     private static final Duration SHORT = Duration.ofSeconds(1);
 
     private final ExchangeFixture fixture = new ExchangeFixture();
-    private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> receivedTexts = new LinkedBlockingQueue<>();
 
     @AfterEach
     void close() {
@@ -33,8 +33,8 @@
 
     @Test
     void matchesEachReplyToItsRequest() {
-        Member sender = silent("a");
-        Member target = echo("b", LinkFilter.ALL);
+        Member sender = silentMember("a");
+        Member target = echoMember("b", LinkFilter.ALL);
 
         List<CompletableFuture<PeerReply>> replies = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
@@ -48,34 +48,34 @@
 
     @Test
     void deliversOneWayMessagesWithTheirSender() throws InterruptedException {
-        Member sender = silent("a");
-        Member target = echo("b", LinkFilter.ALL);
+        Member sender = silentMember("a");
+        Member target = echoMember("b", LinkFilter.ALL);
 
         sender.exchange.send(target.vm, new Text("hello"));
 
-        assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("a: hello");
+        assertThat(receivedTexts.poll(20, TimeUnit.SECONDS)).isEqualTo("a: hello");
     }
 
     @Test
-    void answersItself() {
-        Member member = echo("a", LinkFilter.ALL);
+    void repliesToItself() {
+        Member member = echoMember("a", LinkFilter.ALL);
 
         assertThat(member.exchange.request(member.vm, new Text("x"), LONG).join())
                 .isEqualTo(new PeerReply.Received(new Text("echo x")));
     }
 
     @Test
-    void saysNotSentWhenNothingListens() {
-        Member sender = silent("a");
+    void reportsNotSentWhenNothingListens() {
+        Member sender = silentMember("a");
         Vm absent = new Vm("b", 1, "herning", "127.0.0.1", FreePorts.address().getPort(), 0, false);
 
         assertThat(sender.exchange.request(absent, new Text("x"), LONG).join()).isEqualTo(new PeerReply.NotSent());
     }
 
     @Test
-    void saysNotSentWhenTheMessageIsTooLong() {
-        Member sender = silent("a");
-        Member target = echo("b", LinkFilter.ALL);
+    void reportsNotSentWhenTheMessageIsTooLong() {
+        Member sender = silentMember("a");
+        Member target = echoMember("b", LinkFilter.ALL);
 
         String text = "x".repeat(5 * 1024 * 1024);
         assertThat(sender.exchange.request(target.vm, new Text(text), LONG).join())
@@ -83,23 +83,23 @@
     }
 
     @Test
-    void saysLostWhenThePeerNeverReplies() throws InterruptedException {
-        Member sender = silent("a");
-        Member target = silent("b");
+    void reportsLostWhenThePeerNeverReplies() throws InterruptedException {
+        Member sender = silentMember("a");
+        Member target = silentMember("b");
 
         CompletableFuture<PeerReply> reply = sender.exchange.request(target.vm, new Text("x"), SHORT);
 
-        assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("a: x");
+        assertThat(receivedTexts.poll(20, TimeUnit.SECONDS)).isEqualTo("a: x");
         assertThat(reply.join()).isEqualTo(new PeerReply.Lost());
     }
 
     @Test
-    void saysLostWhenTheConnectionEndsAfterSending() throws Exception {
-        Member sender = silent("a");
-        Member target = silent("b");
+    void reportsLostWhenTheConnectionEndsAfterSending() throws Exception {
+        Member sender = silentMember("a");
+        Member target = silentMember("b");
 
         CompletableFuture<PeerReply> reply = sender.exchange.request(target.vm, new Text("x"), LONG);
-        assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("a: x");
+        assertThat(receivedTexts.poll(20, TimeUnit.SECONDS)).isEqualTo("a: x");
         target.exchange.close();
 
         assertThat(reply.join()).isEqualTo(new PeerReply.Lost());
@@ -107,17 +107,17 @@
 
     @Test
     void dropsTheSecondAndTheLateReply() {
-        Member sender = silent("a");
-        Member target = echo("b", LinkFilter.ALL);
+        Member sender = silentMember("a");
+        Member target = echoMember("b", LinkFilter.ALL);
         Member late = fixture.member("c", LinkFilter.ALL);
         fixture.addToFleet(late.vm);
-        CompletableFuture<Runnable> answer = new CompletableFuture<>();
+        CompletableFuture<Runnable> reply = new CompletableFuture<>();
         late.exchange.register(
-                new TextCodec(21), (from, message, replies) -> answer.complete(() -> replies.reply(new Text("late"))));
+                new TextCodec(21), (from, message, replies) -> reply.complete(() -> replies.reply(new Text("late"))));
 
         assertThat(sender.exchange.request(late.vm, new Text("x"), SHORT).join())
                 .isEqualTo(new PeerReply.Lost());
-        answer.join().run();
+        reply.join().run();
 
         assertThat(sender.exchange.request(target.vm, new Text("y"), LONG).join())
                 .isEqualTo(new PeerReply.Received(new Text("echo y")));
@@ -125,34 +125,34 @@
     }
 
     @Test
-    void losesOnlyTheDirectionThatIsCut() throws InterruptedException {
+    void losesMessagesOnlyInTheDirectionThatIsCut() throws InterruptedException {
         LinkFilter cut = (from, to) -> !(from.equals("a") && to.equals("b"));
-        Member sender = silent("a", cut);
-        Member target = echo("b", cut);
+        Member sender = silentMember("a", cut);
+        Member target = echoMember("b", cut);
 
         assertThat(sender.exchange.request(target.vm, new Text("x"), SHORT).join())
                 .isEqualTo(new PeerReply.Lost());
-        assertThat(heard).isEmpty();
+        assertThat(receivedTexts).isEmpty();
         CompletableFuture<PeerReply> back = target.exchange.request(sender.vm, new Text("x"), SHORT);
-        assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("b: x");
+        assertThat(receivedTexts.poll(20, TimeUnit.SECONDS)).isEqualTo("b: x");
         assertThat(back.join()).isEqualTo(new PeerReply.Lost());
     }
 
     @Test
-    void refusesAConnectionMeantForAnEarlierIncarnation() {
-        Member sender = silent("a");
-        Member target = echo("b", LinkFilter.ALL);
+    void rejectsAConnectionToAnEarlierIncarnation() {
+        Member sender = silentMember("a");
+        Member target = echoMember("b", LinkFilter.ALL);
         Vm earlier = new Vm("b", 0L - 5, "herning", "127.0.0.1", target.vm.peerPort(), 0, false);
 
         assertThat(sender.exchange.request(earlier, new Text("x"), LONG).join()).isEqualTo(new PeerReply.Lost());
-        assertThat(heard).isEmpty();
+        assertThat(receivedTexts).isEmpty();
         assertThat(target.dropped(DropReason.WRONG_TARGET)).isEqualTo(1);
     }
 
     @Test
     void closesTheConnectionsOfAReplacedIncarnation() {
-        Member sender = silent("a");
-        Member target = echo("b", LinkFilter.ALL);
+        Member sender = silentMember("a");
+        Member target = echoMember("b", LinkFilter.ALL);
         assertThat(sender.exchange.request(target.vm, new Text("x"), LONG).join())
                 .isEqualTo(new PeerReply.Received(new Text("echo x")));
         CompletableFuture<PeerReply> open = sender.exchange.request(target.vm, new Text("silence"), LONG);
@@ -162,23 +162,23 @@
         assertThat(open.join()).isEqualTo(new PeerReply.Lost());
     }
 
-    private Member silent(String id) {
-        return silent(id, LinkFilter.ALL);
+    private Member silentMember(String id) {
+        return silentMember(id, LinkFilter.ALL);
     }
 
-    private Member silent(String id, LinkFilter filter) {
+    private Member silentMember(String id, LinkFilter filter) {
         Member member = fixture.member(id, filter);
         fixture.addToFleet(member.vm);
         member.exchange.register(
-                new TextCodec(21), (from, message, replies) -> heard.add(from + ": " + message.text()));
+                new TextCodec(21), (from, message, replies) -> receivedTexts.add(from + ": " + message.text()));
         return member;
     }
 
-    private Member echo(String id, LinkFilter filter) {
+    private Member echoMember(String id, LinkFilter filter) {
         Member member = fixture.member(id, filter);
         fixture.addToFleet(member.vm);
         member.exchange.register(new TextCodec(21), (from, message, replies) -> {
-            heard.add(from + ": " + message.text());
+            receivedTexts.add(from + ": " + message.text());
             if (!message.text().equals("silence")) {
                 replies.reply(new Text("echo " + message.text()));
                 replies.reply(new Text("echo twice"));
--- a/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
@@ -12,7 +12,7 @@
 public final class Catalogs {
     private Catalogs() {}
 
-    /** Returns a server with six slots that takes requests. */
+    /** Returns a server with six slots that accepts requests. */
     public static BackendServer server(String id, String dataCentre) {
         return new BackendServer(id, 1, "ledger", new InetSocketAddress("127.0.0.1", 1), dataCentre, 6, true, 0);
     }
--- a/coppershelf/src/test/java/io/coppershelf/testing/Conditions.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/Conditions.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Waits for what other threads bring about. */
+/** Waits for conditions that other threads bring about. */
 public final class Conditions {
     private static final long LIMIT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
--- a/coppershelf/src/test/java/io/coppershelf/testing/FakeBackendServer.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/FakeBackendServer.java
@@ -19,7 +19,7 @@
 
 /** A backend server over raw sockets, whose answers are written byte by byte by a script. */
 public final class FakeBackendServer implements Closeable {
-    private static final byte LAST = 0;
+    private static final byte CLOSE_MARKER = 0;
 
     private final ServerSocket listener;
     private final Script script;
@@ -43,7 +43,7 @@
 
     /** Returns an answer after which the connection is closed. */
     public static byte[] thenClose(String answer) {
-        return (answer + (char) LAST).getBytes(StandardCharsets.UTF_8);
+        return (answer + (char) CLOSE_MARKER).getBytes(StandardCharsets.UTF_8);
     }
 
     public int port() {
@@ -55,7 +55,7 @@
         return received;
     }
 
-    /** Returns the requests received but for cancellations and probes. */
+    /** Returns the requests received, without cancellations and probes. */
     public List<Received> workRequests() {
         return received.stream()
                 .filter(request -> !request.target().startsWith("/coppershelf/"))
@@ -92,10 +92,11 @@
                 received.add(request);
                 arrivals.add(request);
                 byte[] answer = script.answer(request);
-                boolean isLast = answer.length == 0 || answer[answer.length - 1] == LAST;
-                socket.getOutputStream().write(answer, 0, answer.length - (answer.length > 0 && isLast ? 1 : 0));
+                boolean closesConnection = answer.length == 0 || answer[answer.length - 1] == CLOSE_MARKER;
+                socket.getOutputStream()
+                        .write(answer, 0, answer.length - (answer.length > 0 && closesConnection ? 1 : 0));
                 socket.getOutputStream().flush();
-                if (isLast) {
+                if (closesConnection) {
                     return;
                 }
             }
@@ -136,7 +137,7 @@
         }
     }
 
-    /** Gives the raw answer to a request; an empty one closes the connection. */
+    /** Returns the raw answer to a request; an empty one closes the connection. */
     @FunctionalInterface
     public interface Script {
         byte[] answer(Received request) throws IOException;
@@ -148,7 +149,7 @@
             return headers.getOrDefault("coppershelf-try-id", "none");
         }
 
-        /** Returns a whole answer to this request, with further header lines. */
+        /** Returns a complete answer to this request, with additional header lines. */
         public byte[] answer(int status, String body, String... headerLines) {
             return rawAnswer(
                     status,
@@ -158,7 +159,7 @@
                     String.join("\r\n", headerLines));
         }
 
-        /** Returns an answer with just the given header lines. */
+        /** Returns an answer with only the given header lines. */
         public byte[] rawAnswer(int status, String body, String... headerLines) {
             StringBuilder head = new StringBuilder("HTTP/1.1 " + status + " Status\r\n");
             for (String line : headerLines) {
--- a/coppershelf/src/test/java/io/coppershelf/testing/FakeComponents.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/FakeComponents.java
@@ -33,26 +33,26 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.BooleanSupplier;
 
-/** Stands for all parts around the traffic path: one VM alone, with a fixed configuration. */
+/** Replaces all components around the traffic path: a single VM with a fixed configuration. */
 public final class FakeComponents
         implements Component, Claims, EjectionGrants, Timeline, OperatorRegistry, PeerExchange {
     public static final Vm SELF = new Vm("vm-1", 1, "herning", "127.0.0.1", 1, 2, false);
     public static final String SERVICE = "vagtbank";
 
-    /** The ends of claims, in order. */
+    /** The outcomes of completed claims, in order. */
     public final List<Outcome> completed = new CopyOnWriteArrayList<>();
 
     public final List<BooleanSupplier> readiness = new CopyOnWriteArrayList<>();
     private final PrometheusRegistry metrics = new PrometheusRegistry();
     private final Configuration configuration;
-    private final Claims.ClaimResult verdict;
+    private final Claims.ClaimResult claimResult;
 
-    private FakeComponents(Configuration configuration, Claims.ClaimResult verdict) {
+    private FakeComponents(Configuration configuration, Claims.ClaimResult claimResult) {
         this.configuration = configuration;
-        this.verdict = verdict;
+        this.claimResult = claimResult;
     }
 
-    /** Returns parts with a service of the given servers and the usual request kinds. */
+    /** Returns fakes whose configuration has one service with the given servers and the routes of {@link #routes}. */
     public static FakeComponents of(ServerSpec... servers) {
         List<ObjectState> states = new ArrayList<>();
         List<ObjectSpec> specs = new ArrayList<>(List.of(servers));
@@ -64,9 +64,9 @@
         return new FakeComponents(store.snapshot(), new Claims.ClaimResult.Claimed());
     }
 
-    /** Returns the same parts with another verdict on all claims. */
-    public FakeComponents claiming(Claims.ClaimResult newVerdict) {
-        return new FakeComponents(configuration, newVerdict);
+    /** Returns fakes with the same configuration and another result of all claims. */
+    public FakeComponents claiming(Claims.ClaimResult newClaimResult) {
+        return new FakeComponents(configuration, newClaimResult);
     }
 
     public static List<RouteSpec> routes() {
@@ -111,7 +111,7 @@
 
     @Override
     public CompletableFuture<Claims.ClaimResult> claim(InboundRequest request) {
-        return CompletableFuture.completedFuture(verdict);
+        return CompletableFuture.completedFuture(claimResult);
     }
 
     @Override
--- a/coppershelf/src/test/java/io/coppershelf/testing/FreePorts.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/FreePorts.java
@@ -6,11 +6,11 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 
-/** Finds ports of the loopback interface at which nobody listens. */
+/** Finds ports of the loopback interface on which nothing listens. */
 public final class FreePorts {
     private FreePorts() {}
 
-    /** Returns an address at which nobody listens. */
+    /** Returns an address on which nothing listens. */
     public static InetSocketAddress address() {
         try (ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
--- a/coppershelf/src/test/java/io/coppershelf/testing/LoopbackPeerExchange.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/LoopbackPeerExchange.java
@@ -15,12 +15,12 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The exchange of one VM with itself: every message goes through its codec, and may be lost on the way. */
+/** The peer exchange of one VM with itself: every message passes through its codec and can be lost by a fault. */
 public final class LoopbackPeerExchange implements PeerExchange {
     private final Map<Class<?>, Registration<?>> registrations = new ConcurrentHashMap<>();
     private final String sender;
 
-    /** What happens to requests. */
+    /** The fault that requests meet. */
     public enum Fault {
         NONE,
         NOT_SENT,
@@ -72,7 +72,7 @@
         registration.handle(sender, copy(message), replies);
     }
 
-    /** Returns what the other side reads of a message. */
+    /** Returns the message as the other side decodes it. */
     public PeerMessage copy(PeerMessage message) {
         try {
             return registrations.get(message.getClass()).copy(message);
--- a/coppershelf/src/test/java/io/coppershelf/testing/RawCaller.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/RawCaller.java
@@ -25,7 +25,7 @@
         return new RawCaller(socket);
     }
 
-    /** Sends a request and returns its whole answer. */
+    /** Sends a request and returns its complete answer. */
     public static Reply exchange(InetSocketAddress address, String request) throws IOException {
         try (RawCaller caller = connect(address)) {
             caller.send(request);
@@ -33,30 +33,30 @@
         }
     }
 
-    /** Sends raw text, lines ended by LF are sent with CRLF. */
+    /** Sends raw text; line ends are converted from LF to CRLF. */
     public void send(String text) throws IOException {
         socket.getOutputStream().write(text.replace("\n", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
     }
 
-    /** Sends raw text to a peer that may close the connection meanwhile. */
+    /** Sends raw text to a server that may close the connection in the meantime. */
     public void sendIgnoringErrors(String text) {
         try {
             send(text);
         } catch (IOException e) {
-            // The test goes on to read what came before the loss.
+            // The test then reads what was received before the connection was lost.
         }
     }
 
     /** Reads one answer by its stated length. */
     public Reply reply() throws IOException {
-        Reply bare = head();
-        if (bare.head().isEmpty()) {
-            return bare;
+        Reply withoutBody = head();
+        if (withoutBody.head().isEmpty()) {
+            return withoutBody;
         }
-        int length = Integer.parseInt(bare.header("content-length"));
+        int length = Integer.parseInt(withoutBody.header("content-length"));
         byte[] body = socket.getInputStream().readNBytes(length);
-        return new Reply(bare.head(), new String(body, StandardCharsets.UTF_8));
+        return new Reply(withoutBody.head(), new String(body, StandardCharsets.UTF_8));
     }
 
     /** Reads one answer, an empty one if the connection is lost. */
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Reads one answer and returns how many bytes of its body came before the connection ended. */
+    /** Reads one answer and returns how many bytes of its body were received before the connection ended. */
     public int readBodyLength(int length) throws IOException {
         Reply unused = head();
         try {
@@ -96,7 +96,7 @@
         socket.close();
     }
 
-    /** An answer as it came; empty if the connection was closed instead. */
+    /** An answer as received; empty if the connection was closed instead. */
     public record Reply(String head, String body) {
         public int status() {
             return Integer.parseInt(head.split(" ", 3)[1]);
--- a/coppershelf/src/test/java/io/coppershelf/testing/package-info.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/package-info.java
@@ -1,2 +1,2 @@
-/** Fakes at the interfaces, for the tests of several packages. */
+/** Fakes and helpers that the tests of several packages share. */
 package io.coppershelf.testing;
--- a/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/TicketSpreadTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/TicketSpreadTest.java
@@ -32,13 +32,13 @@
     @ParameterizedTest
     @CsvSource({"1, 0", "2, 0", "36, 0", "36, 0.1"})
     void bringsATicketIntoForceEverywhereWithinTheTarget(int size, double lossRate) {
-        FakeSpreadFleet simulated = new FakeSpreadFleet(size, size);
-        simulated.published.add(floor(1, 5));
-        settle(simulated);
-        simulated.lossRate = lossRate;
-        simulated.published.add(floor(2, 6));
+        FakeSpreadFleet any = new FakeSpreadFleet(size, size);
+        any.published.add(floor(1, 5));
+        settle(any);
+        any.lossRate = lossRate;
+        any.published.add(floor(2, 6));
 
-        assertThat(simulated.runUntil(isInForce(2, 6), lossRate == 0 ? TARGET_MILLIS : REPAIR_MILLIS))
+        assertThat(any.runUntil(isInForce(2, 6), lossRate == 0 ? TARGET_MILLIS : REPAIR_MILLIS))
                 .isTrue();
     }
 
@@ -236,8 +236,8 @@
         assertThat(fleet.runUntil(isInForce(3, 30), TARGET_MILLIS)).isTrue();
     }
 
-    private static void settle(FakeSpreadFleet simulated) {
-        assertThat(simulated.runUntil(TicketSpread::isReady, 10_000)).isTrue();
+    private static void settle(FakeSpreadFleet any) {
+        assertThat(any.runUntil(TicketSpread::isReady, 10_000)).isTrue();
     }
 
     private void assertAll(Predicate<TicketSpread> condition) {
