--- a/coppershelf/src/main/java/io/coppershelf/peer/PeerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/PeerExchange.java
@@ -21,7 +21,7 @@
     /**
      * Sends a message and completes with the typed result; never completes exceptionally.
      *
-     * @param timeout the longest wait for the reply
+     * @param timeout the maximum time to wait for the reply
      */
     CompletableFuture<PeerReply> request(Vm target, PeerMessage message, Duration timeout);
 
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
@@ -126,7 +126,7 @@
         return true;
     }
 
-    /** Begins to open the connection; on the thread of the selector. */
+    /** Starts to open the connection; runs on the selector thread. */
     void connect() {
         try {
             SocketChannel opened = SocketChannel.open();
--- a/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** An immutable snapshot of the configuration in force, with the look-ups that traffic needs. */
+/** An immutable snapshot of the configuration in force, with the look-ups that the traffic path needs. */
 public interface Configuration {
     /** Returns the highest ticket number applied, 0 before the first. */
     long ticketNumber();
--- a/coppershelf/src/main/java/io/coppershelf/ticket/RouteSpec.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/RouteSpec.java
@@ -10,10 +10,10 @@
  * @param method the HTTP method
  * @param path the path; a last segment {@code *} matches any remainder
  * @param idempotent whether running it twice has the same effect as running it once
- * @param deadline the longest time from receipt to answer
+ * @param deadline the maximum time from receipt to answer
  * @param weight its weight when not all requests can be served; a larger weight is more important
- * @param largestBody the largest request body in bytes
- * @param largestAnswer the largest answer body in bytes
+ * @param largestBody the maximum size of the request body in bytes
+ * @param largestAnswer the maximum size of the answer body in bytes
  */
 public record RouteSpec(
         String name,
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RecentTickets.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/RecentTickets.java
@@ -12,7 +12,7 @@
 /** The keys of recently seen tickets, and the documents of the latest ones for peers that pull them. */
 final class RecentTickets {
     private static final int MAX_KEYS = 4096;
-    private static final long MAX_DOCUMENT_BYTES = 4 * 1024 * 1024;
+    private static final long MAX_KEPT_DOCUMENT_BYTES = 4 * 1024 * 1024;
 
     private final Set<TicketKey> keys = new LinkedHashSet<>();
     private final Map<TicketKey, byte[]> documents = new LinkedHashMap<>();
@@ -34,7 +34,7 @@
         byte[] document = TicketDocument.write(ticket).getBytes(StandardCharsets.UTF_8);
         documents.put(key, document);
         documentBytes += document.length;
-        while (documentBytes > MAX_DOCUMENT_BYTES) {
+        while (documentBytes > MAX_KEPT_DOCUMENT_BYTES) {
             TicketKey eldest = documents.keySet().iterator().next();
             documentBytes -= documents.remove(eldest).length;
         }
--- a/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
@@ -22,8 +22,9 @@
         return route(kind, List.of(new WeightedService("ledger", 1)));
     }
 
-    /** Returns a route to the parts. */
-    public static Route route(RequestKind kind, List<WeightedService> parts) {
-        return new Route("r", "host", "/a/", kind, Duration.ofSeconds(5), Duration.ofSeconds(2), 1, 2, parts);
+    /** Returns a route to the weighted services. */
+    public static Route route(RequestKind kind, List<WeightedService> weightedServices) {
+        return new Route(
+                "r", "host", "/a/", kind, Duration.ofSeconds(5), Duration.ofSeconds(2), 1, 2, weightedServices);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/FakeSpreadFleet.java
+++ b/coppershelf/src/test/java/io/coppershelf/ticket/internal/spread/FakeSpreadFleet.java
@@ -67,9 +67,9 @@
     }
 
     boolean runUntil(Predicate<TicketSpread> condition, long limitMillis) {
-        long end = nowNanos + limitMillis * NANOS_PER_MILLI;
+        long endNanos = nowNanos + limitMillis * NANOS_PER_MILLI;
         while (!nodes.values().stream().allMatch(node -> condition.test(node.spread))) {
-            if (nowNanos >= end) {
+            if (nowNanos >= endNanos) {
                 return false;
             }
             run(10);
@@ -78,13 +78,13 @@
     }
 
     void run(long millis) {
-        long end = nowNanos + millis * NANOS_PER_MILLI;
-        while (!queue.isEmpty() && queue.peek().atNanos <= end) {
+        long endNanos = nowNanos + millis * NANOS_PER_MILLI;
+        while (!queue.isEmpty() && queue.peek().atNanos <= endNanos) {
             ScheduledTask next = queue.poll();
             nowNanos = Math.max(nowNanos, next.atNanos);
             next.task.run();
         }
-        nowNanos = end;
+        nowNanos = endNanos;
     }
 
     private void after(long millis, Runnable task) {
@@ -172,12 +172,12 @@
                 request(
                         request.target(),
                         peer -> {
-                            SpreadEvent.RepairReplied answer = new SpreadEvent.RepairReplied(
+                            SpreadEvent.RepairReplied reply = new SpreadEvent.RepairReplied(
                                     peer.vm.id(),
                                     peer.spread.summary(nowNanos),
                                     BucketTree.groupDigests(peer.spread.bucketDigests()));
                             peer.handle(new SpreadEvent.RepairRequested(vm.id(), summary));
-                            return answer;
+                            return reply;
                         },
                         new SpreadEvent.RepairFailed(request.target().id()));
             } else if (action instanceof SpreadAction.RequestBuckets request) {
@@ -231,12 +231,12 @@
                 Optional<Node> peer = Optional.ofNullable(nodes.get(target.id()));
                 peer.filter(node -> node.isUp)
                         .map(handler)
-                        .ifPresent(answer -> deliver(target.id(), vm.id(), () -> end(isCompleted, answer)));
+                        .ifPresent(reply -> deliver(target.id(), vm.id(), () -> complete(isCompleted, reply)));
             });
-            after(TIMEOUT_MILLIS, () -> end(isCompleted, failure));
+            after(TIMEOUT_MILLIS, () -> complete(isCompleted, failure));
         }
 
-        private void end(boolean[] isCompleted, SpreadEvent event) {
+        private void complete(boolean[] isCompleted, SpreadEvent event) {
             if (!isCompleted[0]) {
                 isCompleted[0] = true;
                 handle(event);
