--- a/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/Configuration.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** An immutable snapshot of the configuration in force, with the look-ups that traffic needs. */
+/** An immutable snapshot of the configuration in force, with the look-ups that the traffic path needs. */
 public interface Configuration {
     /** Returns the highest ticket number applied, 0 before the first. */
     long ticketNumber();
@@ -31,8 +31,8 @@
     List<RouteSpec> routes();
 
     /**
-     * Returns the route that matches the method and the path; an exact path goes before a prefix, a longer prefix
-     * before a shorter.
+     * Returns the route that matches the method and the path; an exact path takes precedence over a prefix, and a
+     * longer prefix over a shorter one.
      */
     Optional<RouteSpec> route(String method, String path);
 
@@ -42,7 +42,7 @@
     /** Returns the backend servers and routes that are not used because their service is not known. */
     List<ObjectSpec> unused();
 
-    /** Where traffic threads read the configuration in force. */
+    /** Provides traffic threads with the configuration in force. */
     interface Source {
         ComponentKey<Source> NAME = ComponentKey.named("configuration", Source.class);
 
--- a/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/Catalogs.java
@@ -12,7 +12,7 @@
 public final class Catalogs {
     private Catalogs() {}
 
-    /** Returns a server with six slots that takes requests. */
+    /** Returns a server with six slots that accepts requests. */
     public static BackendServer server(String id, String dataCentre) {
         return new BackendServer(id, 1, "ledger", new InetSocketAddress("127.0.0.1", 1), dataCentre, 6, true, 0);
     }
@@ -22,8 +22,9 @@
         return route(kind, List.of(new WeightedService("ledger", 1)));
     }
 
-    /** Returns a route to the parts. */
-    public static Route route(RequestKind kind, List<WeightedService> parts) {
-        return new Route("r", "host", "/a/", kind, Duration.ofSeconds(5), Duration.ofSeconds(2), 1, 2, parts);
+    /** Returns a route to the weighted services. */
+    public static Route route(RequestKind kind, List<WeightedService> weightedServices) {
+        return new Route(
+                "r", "host", "/a/", kind, Duration.ofSeconds(5), Duration.ofSeconds(2), 1, 2, weightedServices);
     }
 }
