--- a/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
@@ -23,206 +23,208 @@
 import java.util.function.Function;
 
 /**
- * Judges the servers of one group. Not safe for use by several threads.
+ * Decides the condition of the servers of one group. Not safe for use by several threads.
  *
  * <pre>{@code
  * health.advance(now);
- * health.dispatched("try-1", "rotavis-3", "rotavis/week", true, now);
- * health.ended("try-1", "rotavis-3", AttemptEnd.ANSWERED, ServerState.READY, now);
+ * health.dispatched("attempt-1", "rotavis-3", "rotavis/week", true, now);
+ * health.ended("attempt-1", "rotavis-3", AttemptEnd.ANSWERED, ServerState.READY, now);
  * health.tick(now);
  * int slots = health.allowedSlots(spec, now);
  * }</pre>
  */
 public final class GroupHealth {
     private static final long SHARE_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
-    /** A server that has said nothing for so long is probed. */
-    private static final long QUIET_LIMIT_NANOS = Duration.ofSeconds(5).toNanos();
-    /** A try whose life was not observed for longer than this says nothing about its server. */
-    private static final long UNOBSERVED_LIMIT_NANOS = Duration.ofMillis(500).toNanos();
-    /** A timeout speaks against the server if the try was so surprisingly late. */
-    private static final double TIMEOUT_NATS = 3.0;
+    /** A server without any response for this long is probed. */
+    private static final long SILENCE_LIMIT_NANOS = Duration.ofSeconds(5).toNanos();
+    /** An attempt is no evidence if this process was paused for longer than this while it was in flight. */
+    private static final long MAX_UNOBSERVED_NANOS = Duration.ofMillis(500).toNanos();
+    /** A timeout counts as evidence against the server from this surprisal of the attempt's age. */
+    private static final double TIMEOUT_SURPRISAL_NATS = 3.0;
 
     private final HealthCommands commands;
     private final Function<ServiceSpec, HealthPolicy> policies;
     private final ObservedClock clock = new ObservedClock();
-    private final TypicalServiceTimes usualTimes = new TypicalServiceTimes();
+    private final TypicalServiceTimes typicalTimes = new TypicalServiceTimes();
     private final ErrorRates errorRates = new ErrorRates();
     private final Map<String, ServerHealth> servers = new TreeMap<>();
-    private final Map<String, Long> lastHeardNanos = new TreeMap<>();
-    private final DrainSources drainSigns = new DrainSources();
+    private final Map<String, Long> lastResponseNanos = new TreeMap<>();
+    private final DrainSources drainSources = new DrainSources();
 
     private boolean configured;
     private long sharedNanos;
 
-    /** Returns the health of a group without servers yet. */
+    /** Creates the health of a group that has no servers yet. */
     public GroupHealth(Function<ServiceSpec, HealthPolicy> policies, HealthCommands commands) {
         this.policies = policies;
         this.commands = commands;
     }
 
-    /** Takes in the time of the event at hand; to be called first for each event. */
+    /** Advances to the time of the current event; to be called first for each event. */
     public void advance(long nowNanos) {
         clock.advance(nowNanos);
-        servers.values().forEach(server -> server.expireRight(time(nowNanos)));
+        servers.values().forEach(server -> server.expireGrant(time(nowNanos)));
     }
 
-    /** Takes in the servers of the group. Those that join a group already known start cold. */
+    /** Applies the servers of the group. Servers that are added after the first configuration start cold. */
     public void configure(ServiceSpec service, List<ServerSpec> specs, long nowNanos) {
         HealthPolicy policy = policies.apply(service);
         Set<String> names = new HashSet<>();
         specs.forEach(spec -> names.add(spec.name()));
-        Set<String> gone = new HashSet<>(servers.keySet());
-        gone.removeAll(names);
-        gone.forEach(this::forget);
+        Set<String> removed = new HashSet<>(servers.keySet());
+        removed.removeAll(names);
+        removed.forEach(this::remove);
         for (ServerSpec spec : specs) {
-            boolean joined = !servers.containsKey(spec.name());
+            boolean added = !servers.containsKey(spec.name());
             ServerHealth server =
                     servers.computeIfAbsent(spec.name(), name -> new ServerHealth(name, policy, commands, nowNanos));
             server.setPolicy(policy);
-            if (joined && configured) {
+            if (added && configured) {
                 server.startCold(time(nowNanos));
             }
-            lastHeardNanos.putIfAbsent(spec.name(), nowNanos);
+            lastResponseNanos.putIfAbsent(spec.name(), nowNanos);
             applyTicketDrain(spec, server, nowNanos);
         }
         configured = true;
     }
 
-    private void forget(String server) {
+    private void remove(String server) {
         servers.remove(server);
-        lastHeardNanos.remove(server);
-        drainSigns.remove(server);
-        usualTimes.remove(server);
+        lastResponseNanos.remove(server);
+        drainSources.remove(server);
+        typicalTimes.remove(server);
         errorRates.remove(server);
     }
 
     private void applyTicketDrain(ServerSpec spec, ServerHealth server, long nowNanos) {
-        if (!drainSigns.setByTicket(spec.name(), spec.draining())) {
+        if (!drainSources.setByTicket(spec.name(), spec.draining())) {
             server.endDrain(time(nowNanos));
         } else if (spec.draining()) {
             server.drain("draining by ticket", time(nowNanos));
         }
     }
 
-    /** Takes in that a try was sent to a server. */
+    /** Records that an attempt was sent to a server. */
     public void dispatched(String attemptId, String server, String route, boolean idempotent, long nowNanos) {
-        MonitoredAttempt watched = new MonitoredAttempt(attemptId, route, idempotent, nowNanos, clock.observedNanos());
-        find(server).ifPresent(health -> health.dispatched(watched, nowNanos));
+        MonitoredAttempt attempt = new MonitoredAttempt(attemptId, route, idempotent, nowNanos, clock.observedNanos());
+        find(server).ifPresent(health -> health.dispatched(attempt, nowNanos));
     }
 
-    /** Takes in how a try ended and what the server said of itself. */
+    /** Records how an attempt ended and the state that the server reported with it. */
     public void ended(String attemptId, String server, AttemptEnd end, ServerState state, long nowNanos) {
         Optional<ServerHealth> health = find(server);
         if (health.isEmpty()) {
             return;
         }
-        Optional<MonitoredAttempt> watched = health.get().evidence().ended(attemptId);
-        hearOfPath(server, health.get(), end, state, nowNanos);
-        hear(server, health.get(), state, nowNanos);
-        watched.filter(known -> isTelling(known, health.get(), nowNanos))
-                .ifPresent(known -> judge(server, health.get(), known, end, nowNanos));
+        Optional<MonitoredAttempt> attempt = health.get().evidence().ended(attemptId);
+        recordPathState(server, health.get(), end, state, nowNanos);
+        recordState(server, health.get(), state, nowNanos);
+        attempt.filter(ended -> isEvidence(ended, health.get(), nowNanos))
+                .ifPresent(ended -> recordEnd(server, health.get(), ended, end, nowNanos));
         evaluate(server, health.get(), nowNanos);
     }
 
-    private void hearOfPath(String server, ServerHealth health, AttemptEnd end, ServerState state, long nowNanos) {
+    private void recordPathState(String server, ServerHealth health, AttemptEnd end, ServerState state, long nowNanos) {
         if (end == AttemptEnd.ANSWERED || state != ServerState.UNSTATED) {
-            lastHeardNanos.put(server, nowNanos);
+            lastResponseNanos.put(server, nowNanos);
             health.path().recordAnswer();
         } else if (end == AttemptEnd.NOT_CONNECTED) {
             health.path().recordConnectFailure();
         }
     }
 
-    private boolean isTelling(MonitoredAttempt watched, ServerHealth health, long nowNanos) {
-        return !watched.isIgnored()
-                && watched.unobservedNanos(nowNanos, clock.observedNanos()) <= UNOBSERVED_LIMIT_NANOS
+    private boolean isEvidence(MonitoredAttempt attempt, ServerHealth health, long nowNanos) {
+        return !attempt.isIgnored()
+                && attempt.unobservedNanos(nowNanos, clock.observedNanos()) <= MAX_UNOBSERVED_NANOS
                 && health.condition() != ServerCondition.DRAINING;
     }
 
-    private void judge(String server, ServerHealth health, MonitoredAttempt watched, AttemptEnd told, long nowNanos) {
-        long age = watched.ageNanos(clock.observedNanos());
-        AttemptEnd end = watched.isCancelled() && told != AttemptEnd.ANSWERED ? AttemptEnd.TIMED_OUT : told;
+    private void recordEnd(
+            String server, ServerHealth health, MonitoredAttempt attempt, AttemptEnd reportedEnd, long nowNanos) {
+        long age = attempt.ageNanos(clock.observedNanos());
+        AttemptEnd end =
+                attempt.isCancelled() && reportedEnd != AttemptEnd.ANSWERED ? AttemptEnd.TIMED_OUT : reportedEnd;
         switch (end) {
-            case ANSWERED -> judgeAnswer(server, health, watched, age, nowNanos);
-            case FAILED -> judgeError(server, health, watched, nowNanos);
-            case TIMED_OUT -> judgeTimeout(server, health, watched, nowNanos);
+            case ANSWERED -> recordAnswer(server, health, attempt, age, nowNanos);
+            case FAILED -> recordError(server, health, attempt, nowNanos);
+            case TIMED_OUT -> recordTimeout(server, health, attempt, nowNanos);
             case NOT_CONNECTED, REFUSED, NEUTRAL -> {}
         }
     }
 
-    private void judgeAnswer(String server, ServerHealth health, MonitoredAttempt watched, long age, long nowNanos) {
-        health.evidence().markOvertaken(watched, clock.observedNanos());
-        usualTimes
-                .typicalOfPeers(watched.route(), server)
-                .ifPresent(usual -> health.recordAnswer(age, usual, time(nowNanos)));
-        health.recordError(watched.route(), false, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
-        errorRates.record(server, watched.route(), false);
+    private void recordAnswer(String server, ServerHealth health, MonitoredAttempt attempt, long age, long nowNanos) {
+        health.evidence().markOvertaken(attempt, clock.observedNanos());
+        typicalTimes
+                .typicalOfPeers(attempt.route(), server)
+                .ifPresent(typical -> health.recordAnswer(age, typical, time(nowNanos)));
+        health.recordError(attempt.route(), false, errorRates.rateOfPeers(attempt.route(), server), time(nowNanos));
+        errorRates.record(server, attempt.route(), false);
         if (health.condition() == ServerCondition.IN_SERVICE) {
-            usualTimes.record(server, watched.route(), age);
+            typicalTimes.record(server, attempt.route(), age);
         }
     }
 
-    private void judgeError(String server, ServerHealth health, MonitoredAttempt watched, long nowNanos) {
-        health.recordError(watched.route(), true, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
-        errorRates.record(server, watched.route(), true);
+    private void recordError(String server, ServerHealth health, MonitoredAttempt attempt, long nowNanos) {
+        health.recordError(attempt.route(), true, errorRates.rateOfPeers(attempt.route(), server), time(nowNanos));
+        errorRates.record(server, attempt.route(), true);
     }
 
-    private void judgeTimeout(String server, ServerHealth health, MonitoredAttempt watched, long nowNanos) {
-        double surprise = usualTimes
-                .typical(watched.route())
-                .map(usual ->
-                        StallDetector.surprisal(watched, usual.slowedBy(health.slowness()), clock.observedNanos()))
+    private void recordTimeout(String server, ServerHealth health, MonitoredAttempt attempt, long nowNanos) {
+        double surprisal = typicalTimes
+                .typical(attempt.route())
+                .map(typical ->
+                        StallDetector.surprisal(attempt, typical.slowedBy(health.slowness()), clock.observedNanos()))
                 .orElse(0.0);
-        if (surprise >= TIMEOUT_NATS) {
-            health.recordTimeout(surprise, time(nowNanos));
-            errorRates.record(server, watched.route(), true);
+        if (surprisal >= TIMEOUT_SURPRISAL_NATS) {
+            health.recordTimeout(surprisal, time(nowNanos));
+            errorRates.record(server, attempt.route(), true);
         }
     }
 
-    /** Takes in what a server says of itself through a probe, empty if the probe failed. */
+    /** Records the state that a server reported to a probe, empty if the probe failed. */
     public void probeEnded(String server, Optional<ServerState> state, long nowNanos) {
         find(server).ifPresent(health -> {
             if (state.isEmpty()) {
                 health.path().recordProbeFailure();
             } else {
-                lastHeardNanos.put(server, nowNanos);
+                lastResponseNanos.put(server, nowNanos);
                 health.path().recordAnswer();
-                hear(server, health, state.get(), nowNanos);
+                recordState(server, health, state.get(), nowNanos);
             }
             evaluate(server, health, nowNanos);
         });
     }
 
-    private void hear(String server, ServerHealth health, ServerState state, long nowNanos) {
+    private void recordState(String server, ServerHealth health, ServerState state, long nowNanos) {
         switch (state) {
             case DRAINING -> {
-                drainSigns.reportDraining(server, nowNanos);
+                drainSources.reportDraining(server, nowNanos);
                 health.drain("draining by its own word", time(nowNanos));
             }
             case COLD -> {
-                endOwnDrain(server, health, nowNanos);
+                endReportedDrain(server, health, nowNanos);
                 health.reportCold(time(nowNanos));
             }
             case READY -> {
-                endOwnDrain(server, health, nowNanos);
+                endReportedDrain(server, health, nowNanos);
                 health.reportReady();
             }
             case UNSTATED, SHEDDING -> {}
         }
     }
 
-    private void endOwnDrain(String server, ServerHealth health, long nowNanos) {
-        if (!drainSigns.reportNotDraining(server, nowNanos)) {
+    private void endReportedDrain(String server, ServerHealth health, long nowNanos) {
+        if (!drainSources.reportNotDraining(server, nowNanos)) {
             health.endDrain(time(nowNanos));
         }
     }
 
-    /** Takes in the usual times that another owner of the service sees. */
-    public void serviceTimesReceived(String sender, Map<String, Long> usualNanos, long nowNanos) {
-        usualTimes.recordReported(sender, usualNanos, nowNanos);
+    /** Records the typical service times that another owner of the service measured. */
+    public void serviceTimesReceived(String sender, Map<String, Long> typicalNanos, long nowNanos) {
+        typicalTimes.recordReported(sender, typicalNanos, nowNanos);
     }
 
-    /** Takes in whether another VM reaches the server. */
+    /** Records whether another VM can reach the server. */
     public void reachabilityReported(String server, boolean reachable, long nowNanos) {
         find(server).ifPresent(health -> {
             health.path().recordPeerReport(reachable, nowNanos);
@@ -230,29 +232,29 @@
         });
     }
 
-    /** Takes in that the right to eject the server is held until the given time. */
+    /** Records that the grant to eject the server is held until the given time. */
     public void ejectionGranted(String server, long untilNanos, long nowNanos) {
         find(server)
                 .ifPresentOrElse(
                         health -> health.granted(untilNanos, time(nowNanos)), () -> commands.releaseEjection(server));
     }
 
-    /** Takes in that the right to eject the server ended early. */
+    /** Records that the grant to eject the server was revoked before its end. */
     public void ejectionRevoked(String server, long nowNanos) {
         find(server).ifPresent(health -> health.revoked(time(nowNanos)));
     }
 
-    /** Judges all servers; to be called at least every 50 ms. */
+    /** Evaluates all servers; to be called at least every 50 ms. */
     public void tick(long nowNanos) {
-        usualTimes.expireReported(nowNanos);
+        typicalTimes.expireReported(nowNanos);
         servers.forEach((name, server) -> {
             server.evidence().decay(clock.observedNanos());
             evaluate(name, server, nowNanos);
-            probeIfQuiet(name, nowNanos);
+            probeIfSilent(name, nowNanos);
         });
         if (nowNanos - sharedNanos >= SHARE_INTERVAL_NANOS) {
             sharedNanos = nowNanos;
-            Map<String, Long> medians = usualTimes.ownMedians();
+            Map<String, Long> medians = typicalTimes.ownMedians();
             if (!medians.isEmpty()) {
                 commands.shareServiceTimes(medians);
             }
@@ -261,16 +263,16 @@
 
     private void evaluate(String name, ServerHealth server, long nowNanos) {
         Finding finding = finding(server);
-        boolean common = server.condition() == ServerCondition.SUSPECTED && isCommon(name);
-        server.evaluate(finding, common, time(nowNanos));
-        server.cancelOverdue(finding, usualTimes, clock.observedNanos());
+        boolean allSuspected = server.condition() == ServerCondition.SUSPECTED && areOthersSuspected(name);
+        server.evaluate(finding, allSuspected, time(nowNanos));
+        server.cancelOverdue(finding, typicalTimes, clock.observedNanos());
     }
 
     private Finding finding(ServerHealth server) {
-        return server.evidence().finding(usualTimes, server.slowness(), clock.observedNanos());
+        return server.evidence().finding(typicalTimes, server.slowness(), clock.observedNanos());
     }
 
-    private boolean isCommon(String name) {
+    private boolean areOthersSuspected(String name) {
         List<ServerHealth> others = servers.entrySet().stream()
                 .filter(entry -> !entry.getKey().equals(name))
                 .map(Map.Entry::getValue)
@@ -280,21 +282,21 @@
                 && others.stream().allMatch(other -> finding(other).nats() >= other.suspicionNats());
     }
 
-    private void probeIfQuiet(String server, long nowNanos) {
-        if (nowNanos - lastHeardNanos.get(server) >= QUIET_LIMIT_NANOS) {
-            lastHeardNanos.put(server, nowNanos);
+    private void probeIfSilent(String server, long nowNanos) {
+        if (nowNanos - lastResponseNanos.get(server) >= SILENCE_LIMIT_NANOS) {
+            lastResponseNanos.put(server, nowNanos);
             commands.probe(server);
         }
     }
 
-    /** Returns the slots of the server that new work may use, 0 if it gets none. */
+    /** Returns the slots of the server that new requests may use, 0 if it receives none. */
     public int allowedSlots(ServerSpec spec, long nowNanos) {
         return find(spec.name())
                 .map(health -> health.allowedSlots(spec.slots(), nowNanos))
                 .orElse(0);
     }
 
-    /** Returns a server in suspicion or probation that is to be tried with idempotent work. */
+    /** Returns a suspected server or one in probation that is due for a trial with an idempotent request. */
     public Optional<String> findServerDueForTrial(long nowNanos) {
         return servers.entrySet().stream()
                 .filter(entry -> entry.getValue().isTrialDue(nowNanos))
@@ -302,7 +304,7 @@
                 .findFirst();
     }
 
-    /** Returns the time that this process really observed; only differences have a meaning. */
+    /** Returns the time during which this process was running; only differences have a meaning. */
     public long observedNanos() {
         return clock.observedNanos();
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
@@ -2,26 +2,26 @@
 
 import java.util.Map;
 
-/** What the health of a group wants done. */
+/** The commands that the health of a group issues to its owner. */
 public interface HealthCommands {
-    /** Ask for the right to eject the server, or renew it. */
+    /** Requests a grant to eject the server, or renews it. */
     void requestEjection(String server, String reason);
 
-    /** Give the right to eject the server back. */
+    /** Releases the grant to eject the server. */
     void releaseEjection(String server);
 
-    /** Probe the server. */
+    /** Probes the server. */
     void probe(String server);
 
-    /** Ask other VMs whether they reach the server. */
+    /** Queries other VMs whether they can reach the server. */
     void queryReachability(String server);
 
-    /** Cancel a try that runs on the server. */
+    /** Cancels an attempt that runs on the server. */
     void cancel(String attemptId, String server);
 
-    /** Tell the other owners of the service the usual service times, per route in nanoseconds. */
-    void shareServiceTimes(Map<String, Long> usualNanos);
+    /** Sends the typical service times, per route in nanoseconds, to the other owners of the service. */
+    void shareServiceTimes(Map<String, Long> typicalNanos);
 
-    /** Record the change of the server's condition. */
+    /** Records a change of the server's condition. */
     void conditionChanged(String server, ServerCondition from, ServerCondition to, String reason);
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/ServerCondition.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/ServerCondition.java
@@ -1,17 +1,17 @@
 package io.coppershelf.health;
 
-/** The condition in which a backend server is held by the owner of its group. */
+/** The condition of a backend server, as decided by the owner of its group. */
 public enum ServerCondition {
-    /** Gets work. */
+    /** Receives requests. */
     IN_SERVICE,
-    /** Newly seen or restarted; gets work, judged with longer limits. */
+    /** Added or restarted recently; receives requests and is judged with longer limits. */
     COLD,
-    /** Suspected without the right to eject; chosen last. */
+    /** Suspected to be unhealthy, without a grant to eject it; selected last. */
     SUSPECTED,
-    /** Gets no work, under a right to eject. */
+    /** Receives no requests, under a grant to eject it. */
     EJECTED,
-    /** Gets a trickle of idempotent work after an ejection. */
+    /** Receives single idempotent requests after an ejection. */
     PROBATION,
-    /** Is leaving by ticket, platform list or its own word; gets no new work. */
+    /** Draining by ticket, by the platform's list or by its own report; receives no new requests. */
     DRAINING
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ColdStart.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ColdStart.java
@@ -2,21 +2,24 @@
 
 import java.time.Duration;
 
-/** The slow ramp of a server that starts cold or returns to service, and the longer limits by which it is judged. */
+/**
+ * The slow start of a server that starts cold or returns to service: its slots ramp up, and it is judged with longer
+ * limits.
+ */
 public final class ColdStart {
-    /** How much slower than its peers a cold server may be. */
+    /** The factor by which a cold server may be slower than its peers. */
     public static final double SLOWNESS = 8.0;
 
     private static final long RAMP_NANOS = Duration.ofSeconds(10).toNanos();
-    private static final double FIRST_SHARE = 0.34;
+    private static final double INITIAL_SHARE = 0.34;
 
-    /** How long a server's own word that it is cold counts. */
-    private static final long LONGEST_NANOS = Duration.ofMinutes(1).toNanos();
+    /** How long a server's report that it is cold is accepted. */
+    private static final long MAX_REPORTED_NANOS = Duration.ofMinutes(1).toNanos();
 
     private boolean ramping;
     private long startedNanos;
-    private boolean stated;
-    private boolean distrusted;
+    private boolean reportedCold;
+    private boolean ignoresReports;
 
     /** Begins the ramp. */
     public void begin(long nowNanos) {
@@ -24,32 +27,32 @@
         startedNanos = nowNanos;
     }
 
-    /** Returns the slots that may be used by now. */
+    /** Returns the slots that may be used at the given time. */
     public int allowedSlots(int slots, long nowNanos) {
         if (!ramping) {
             return slots;
         }
-        double grown = (double) (nowNanos - startedNanos) / RAMP_NANOS;
-        double share = Math.min(1.0, FIRST_SHARE + (1 - FIRST_SHARE) * grown);
+        double elapsedShare = (double) (nowNanos - startedNanos) / RAMP_NANOS;
+        double share = Math.min(1.0, INITIAL_SHARE + (1 - INITIAL_SHARE) * elapsedShare);
         return Math.max(1, (int) (slots * share));
     }
 
-    /** Takes in the server's word that it is cold; returns whether the word counts. */
+    /** Records the server's report that it is cold; returns whether the report is accepted. */
     public boolean reportCold() {
-        stated = true;
-        return !distrusted;
+        reportedCold = true;
+        return !ignoresReports;
     }
 
-    /** Takes in the server's word that it is ready. */
+    /** Records the server's report that it is ready. */
     public void reportReady() {
-        stated = false;
-        distrusted = false;
+        reportedCold = false;
+        ignoresReports = false;
     }
 
-    /** Returns whether the start is over. A server that says for too long that it is cold is not believed any more. */
+    /** Returns whether the start is over. Reports of a server that stays cold for too long are ignored. */
     public boolean isOver(long nowNanos) {
         long age = nowNanos - startedNanos;
-        distrusted |= stated && age >= LONGEST_NANOS;
-        return age >= RAMP_NANOS && (!stated || distrusted);
+        ignoresReports |= reportedCold && age >= MAX_REPORTED_NANOS;
+        return age >= RAMP_NANOS && (!reportedCold || ignoresReports);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSources.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSources.java
@@ -6,15 +6,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The signs by which servers drain: a ticket, their own word, or both. */
+/** The sources by which servers are draining: a ticket, their own report, or both. */
 public final class DrainSources {
-    /** How long a server that drains by its own word is not taken back by a probe, which may lag. */
-    private static final long LEAST_DRAIN_NANOS = Duration.ofSeconds(10).toNanos();
+    /**
+     * How long a server that reported a drain stays draining at least, as the state in a probe's answer may lag behind.
+     */
+    private static final long MIN_DRAIN_NANOS = Duration.ofSeconds(10).toNanos();
 
     private final Set<String> byTicket = new HashSet<>();
-    private final Map<String, Long> byOwnWord = new HashMap<>();
+    private final Map<String, Long> byOwnReport = new HashMap<>();
 
-    /** Takes in what the ticket says; returns whether the server is to drain now. */
+    /** Records whether the ticket drains the server; returns whether the server is draining now. */
     public boolean setByTicket(String server, boolean draining) {
         if (draining) {
             byTicket.add(server);
@@ -24,27 +26,30 @@
         return isDraining(server);
     }
 
-    /** Takes in the server's word that it drains. */
+    /** Records the server's report that it is draining. */
     public void reportDraining(String server, long nowNanos) {
-        byOwnWord.put(server, nowNanos);
+        byOwnReport.put(server, nowNanos);
     }
 
-    /** Takes in the server's word that it does not drain; returns whether it is to drain all the same. */
+    /**
+     * Records the server's report that it is not draining; returns whether it is still draining, by ticket or by a
+     * recent report.
+     */
     public boolean reportNotDraining(String server, long nowNanos) {
-        Long since = byOwnWord.get(server);
-        if (since != null && nowNanos - since >= LEAST_DRAIN_NANOS) {
-            byOwnWord.remove(server);
+        Long since = byOwnReport.get(server);
+        if (since != null && nowNanos - since >= MIN_DRAIN_NANOS) {
+            byOwnReport.remove(server);
         }
         return isDraining(server);
     }
 
-    /** Forgets a server that is gone. */
+    /** Removes a server that has left the group. */
     public void remove(String server) {
         byTicket.remove(server);
-        byOwnWord.remove(server);
+        byOwnReport.remove(server);
     }
 
     private boolean isDraining(String server) {
-        return byTicket.contains(server) || byOwnWord.containsKey(server);
+        return byTicket.contains(server) || byOwnReport.containsKey(server);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/EjectionBackoff.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/EjectionBackoff.java
@@ -2,35 +2,38 @@
 
 import java.time.Duration;
 
-/** How long a server stays ejected before probation: doubled for each ejection that follows soon on another. */
+/**
+ * How long a server stays ejected before probation: an exponential backoff that doubles with each ejection and shrinks
+ * with time in service.
+ */
 public final class EjectionBackoff {
-    private static final Duration FIRST = Duration.ofSeconds(5);
-    private static final Duration LONGEST = Duration.ofMinutes(5);
-    /** The time in good service after which the hold time is halved. */
-    private static final Duration RECOVERY = Duration.ofMinutes(1);
+    private static final Duration INITIAL_DURATION = Duration.ofSeconds(5);
+    private static final Duration MAX_DURATION = Duration.ofMinutes(5);
+    /** The time in healthy service after which the duration is halved. */
+    private static final Duration RECOVERY_INTERVAL = Duration.ofMinutes(1);
 
-    private Duration next = FIRST;
+    private Duration next = INITIAL_DURATION;
     private long recoveredNanos;
 
-    /** Returns the hold time of an ejection and doubles the next one. */
+    /** Returns the duration of an ejection and doubles the next one. */
     public Duration nextDuration(long nowNanos) {
-        Duration hold = next;
-        next = min(next.multipliedBy(2), LONGEST);
+        Duration duration = next;
+        next = min(next.multipliedBy(2), MAX_DURATION);
         recoveredNanos = nowNanos;
-        return hold;
+        return duration;
     }
 
-    /** Halves the hold time for each span of good service since the last ejection. */
+    /** Halves the next duration after each interval of healthy service since the last ejection. */
     public void recordHealthy(long nowNanos) {
-        if (next.compareTo(FIRST) > 0 && nowNanos - recoveredNanos >= RECOVERY.toNanos()) {
-            next = max(next.dividedBy(2), FIRST);
+        if (next.compareTo(INITIAL_DURATION) > 0 && nowNanos - recoveredNanos >= RECOVERY_INTERVAL.toNanos()) {
+            next = max(next.dividedBy(2), INITIAL_DURATION);
             recoveredNanos = nowNanos;
         }
     }
 
-    /** Returns whether the server was ejected not long ago. */
+    /** Returns whether the server was ejected recently. */
     public boolean wasRecentlyEjected() {
-        return next.compareTo(FIRST) > 0;
+        return next.compareTo(INITIAL_DURATION) > 0;
     }
 
     private static Duration min(Duration a, Duration b) {
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorComparison.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorComparison.java
@@ -3,46 +3,46 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Compares the errors that one server caused with those of its peers, kind by kind. */
+/** Compares the errors that one server caused with those of its peers, for each route. */
 public final class ErrorComparison {
-    /** The share of errors that counts as usual at least. */
-    private static final double LEAST_USUAL_RATE = 0.01;
-    /** The share of errors that is to be found at least. */
-    private static final double LEAST_SICK_RATE = 0.3;
-    /** How much more often than its peers a sick server fails. */
-    private static final double SICK_RATIO = 3.0;
+    /** The lower bound of the error rate that counts as normal. */
+    private static final double MIN_NORMAL_RATE = 0.01;
+    /** The lower bound of the error rate that is to be detected. */
+    private static final double MIN_UNHEALTHY_RATE = 0.3;
+    /** The factor on the peers' error rate at which a server counts as unhealthy. */
+    private static final double UNHEALTHY_RATIO = 3.0;
 
     private final Map<String, CumulativeSum> byRoute = new HashMap<>();
 
     /**
-     * Takes in the end of a try.
+     * Records the end of an attempt.
      *
-     * @param route the request kind
+     * @param route the route
      * @param error whether the server caused an error
-     * @param rateOfPeers the share of errors of this kind on the server's peers
+     * @param rateOfPeers the error rate of this route on the server's peers
      * @param observedNanos the observed time
      */
     public void record(String route, boolean error, double rateOfPeers, long observedNanos) {
-        double usual = Math.max(LEAST_USUAL_RATE, rateOfPeers);
-        double sick = Math.max(LEAST_SICK_RATE, SICK_RATIO * usual);
-        if (sick >= 1.0) {
+        double normal = Math.max(MIN_NORMAL_RATE, rateOfPeers);
+        double unhealthy = Math.max(MIN_UNHEALTHY_RATE, UNHEALTHY_RATIO * normal);
+        if (unhealthy >= 1.0) {
             return;
         }
-        double ratio = error ? Math.log(sick / usual) : Math.log((1 - sick) / (1 - usual));
+        double ratio = error ? Math.log(unhealthy / normal) : Math.log((1 - unhealthy) / (1 - normal));
         byRoute.computeIfAbsent(route, absent -> new CumulativeSum()).add(ratio, observedNanos);
     }
 
-    /** Lets old evidence fade. */
+    /** Lets old evidence decay. */
     public void decay(long observedNanos) {
         byRoute.values().forEach(sum -> sum.decay(observedNanos));
     }
 
-    /** Forgets all evidence. */
+    /** Clears all evidence. */
     public void clear() {
         byRoute.clear();
     }
 
-    /** Returns the evidence for errors on the worst kind in nats. */
+    /** Returns the evidence for errors on the worst route in nats. */
     public double evidence() {
         return byRoute.values().stream().mapToDouble(CumulativeSum::nats).max().orElse(0);
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/LogAverage.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/LogAverage.java
@@ -1,6 +1,6 @@
 package io.coppershelf.health.internal;
 
-/** An exponentially weighted moving average of logarithms; plain average over the first samples. */
+/** An exponentially weighted moving average of logarithms; a plain average over the first samples. */
 final class LogAverage {
     private static final double SAMPLE_WEIGHT = 0.02;
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/MonitoredAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/MonitoredAttempt.java
@@ -1,6 +1,6 @@
 package io.coppershelf.health.internal;
 
-/** A try in flight as the health of its server sees it. */
+/** An attempt in flight, with what the health of its server needs to judge it. */
 public final class MonitoredAttempt {
     private final String attemptId;
     private final String route;
@@ -11,7 +11,7 @@
     private boolean cancelled;
     private boolean ignored;
 
-    /** Returns a try that was dispatched at the given monotonic and observed times. */
+    /** Creates an attempt that was dispatched at the given monotonic and observed times. */
     public MonitoredAttempt(String attemptId, String route, boolean idempotent, long nowNanos, long observedNanos) {
         this.attemptId = attemptId;
         this.route = route;
@@ -20,22 +20,22 @@
         this.dispatchedObservedNanos = observedNanos;
     }
 
-    /** Returns the id of the try. */
+    /** Returns the id of the attempt. */
     public String attemptId() {
         return attemptId;
     }
 
-    /** Returns the request kind. */
+    /** Returns the route. */
     public String route() {
         return route;
     }
 
-    /** Returns whether the request may be repeated. */
+    /** Returns whether the request may be retried. */
     public boolean isIdempotent() {
         return idempotent;
     }
 
-    /** Returns the observed age. */
+    /** Returns the age in observed time. */
     public long ageNanos(long observedNanos) {
         return observedNanos - dispatchedObservedNanos;
     }
@@ -45,34 +45,34 @@
         return (nowNanos - dispatchedNanos) - ageNanos(observedNanos);
     }
 
-    /** Counts an answer of the same kind to a later try on the same server. */
+    /** Counts an answer on the same route to a later attempt on the same server. */
     public void recordOvertaken() {
         overtaken++;
     }
 
-    /** Returns the number of answers of the same kind to later tries on the same server. */
+    /** Returns the number of answers on the same route to later attempts on the same server. */
     public int overtakenCount() {
         return overtaken;
     }
 
-    /** Marks the try as one that says nothing about its server any more. */
+    /** Excludes the attempt from the evidence on its server. */
     public void ignore() {
         ignored = true;
     }
 
-    /** Returns whether the try says nothing about its server any more. */
+    /** Returns whether the attempt is excluded from the evidence on its server. */
     public boolean isIgnored() {
         return ignored;
     }
 
-    /** Marks the try as cancelled by the group; returns whether it was not so before. */
+    /** Marks the attempt as cancelled by the group; returns whether it was not marked before. */
     public boolean markCancelled() {
         boolean first = !cancelled;
         cancelled = true;
         return first;
     }
 
-    /** Returns whether the group cancelled it. */
+    /** Returns whether the group cancelled the attempt. */
     public boolean isCancelled() {
         return cancelled;
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ObservedClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ObservedClock.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * The time that this process really observed: the sum of the gaps between events, each up to a limit. While the process
- * was paused it saw nothing, so that a pause is no evidence against a server.
+ * The time during which this process was running: the sum of the gaps between events, each up to a limit. A pause of
+ * this process thus doesn't count as evidence against a server.
  */
 public final class ObservedClock {
     /** The longest gap between two events that counts in full; a tick is due every 50 ms. */
@@ -14,7 +14,7 @@
     private long observedNanos;
     private boolean started;
 
-    /** Advances to the monotonic time of the event at hand. */
+    /** Advances to the monotonic time of the current event. */
     public void advance(long nowNanos) {
         if (started) {
             observedNanos += Math.max(0, Math.min(nowNanos - lastNanos, GAP_LIMIT_NANOS));
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueAttempts.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueAttempts.java
@@ -2,25 +2,25 @@
 
 import java.util.List;
 
-/** Finds the tries that are not worth waiting for on a sick server. */
+/** Finds the attempts on an unhealthy server that should be cancelled rather than waited for. */
 final class OverdueAttempts {
-    /** A try that is so surprisingly late is overdue. */
+    /** An attempt is overdue from this surprisal of its age. */
     private static final double OVERDUE_NATS = 6.0;
 
     private OverdueAttempts() {}
 
-    /** Returns the tries in flight that may be repeated and are overdue. */
-    static List<MonitoredAttempt> of(ServerEvidence evidence, TypicalServiceTimes usualTimes, long observedNanos) {
+    /** Returns the idempotent attempts in flight that are overdue. */
+    static List<MonitoredAttempt> of(ServerEvidence evidence, TypicalServiceTimes typicalTimes, long observedNanos) {
         return evidence.inFlight().stream()
                 .filter(MonitoredAttempt::isIdempotent)
-                .filter(watched -> isOverdue(watched, usualTimes, observedNanos))
+                .filter(attempt -> isOverdue(attempt, typicalTimes, observedNanos))
                 .toList();
     }
 
-    private static boolean isOverdue(MonitoredAttempt watched, TypicalServiceTimes usualTimes, long observedNanos) {
-        return usualTimes
-                .typical(watched.route())
-                .map(usual -> usual.surprisal(watched.ageNanos(observedNanos)) >= OVERDUE_NATS)
+    private static boolean isOverdue(MonitoredAttempt attempt, TypicalServiceTimes typicalTimes, long observedNanos) {
+        return typicalTimes
+                .typical(attempt.route())
+                .map(typical -> typical.surprisal(attempt.ageNanos(observedNanos)) >= OVERDUE_NATS)
                 .orElse(false);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/PathCheck.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/PathCheck.java
@@ -3,69 +3,69 @@
 import java.time.Duration;
 
 /**
- * Tells a sick server from a broken path between it and this VM: a server that only this VM can't reach is avoided by
- * this VM, but not ejected.
+ * Distinguishes a server that is down from a broken network path between it and this VM: a server that only this VM
+ * can't reach is avoided by this VM, but not ejected.
  */
 public final class PathCheck {
-    /** What is known about the path. */
-    public enum Verdict {
-        /** Nothing was asked yet. */
+    /** The state of the path. */
+    public enum State {
+        /** No result is known yet. */
         UNKNOWN,
-        /** This VM reaches the server. */
+        /** This VM can reach the server. */
         CLEAR,
-        /** This VM can't reach the server and others can, or have not said. */
+        /** This VM can't reach the server; other VMs can reach it or have not replied. */
         BROKEN,
-        /** Neither this VM nor another reaches the server. */
+        /** Neither this VM nor another one can reach the server. */
         DOWN
     }
 
-    private static final int CONNECT_FAILURES = 3;
-    /** How long the word of another VM counts. */
-    private static final long HEARD_VALID_NANOS = Duration.ofSeconds(5).toNanos();
+    private static final int MIN_CONNECT_FAILURES = 3;
+    /** How long a report of another VM is valid. */
+    private static final long REPORT_VALID_NANOS = Duration.ofSeconds(5).toNanos();
 
     private int connectFailures;
-    private Verdict own = Verdict.UNKNOWN;
-    private boolean heardReachable;
-    private boolean heardUnreachable;
-    private long heardNanos;
+    private State ownState = State.UNKNOWN;
+    private boolean reportedReachable;
+    private boolean reportedUnreachable;
+    private long reportedNanos;
 
-    /** Takes in that a connection could not be made. */
+    /** Records that a connection could not be opened. */
     public void recordConnectFailure() {
         connectFailures++;
-        if (connectFailures >= CONNECT_FAILURES) {
-            own = Verdict.BROKEN;
+        if (connectFailures >= MIN_CONNECT_FAILURES) {
+            ownState = State.BROKEN;
         }
     }
 
-    /** Takes in that the server answered this VM. */
+    /** Records that the server answered this VM. */
     public void recordAnswer() {
         connectFailures = 0;
-        own = Verdict.CLEAR;
+        ownState = State.CLEAR;
     }
 
-    /** Takes in that a probe was not answered. */
+    /** Records that a probe was not answered. */
     public void recordProbeFailure() {
-        own = Verdict.BROKEN;
+        ownState = State.BROKEN;
     }
 
-    /** Forgets what was known, at the start of a suspicion. */
+    /** Resets the state at the start of a suspicion. */
     public void reset() {
-        own = connectFailures >= CONNECT_FAILURES ? Verdict.BROKEN : Verdict.UNKNOWN;
-        heardReachable = false;
-        heardUnreachable = false;
+        ownState = connectFailures >= MIN_CONNECT_FAILURES ? State.BROKEN : State.UNKNOWN;
+        reportedReachable = false;
+        reportedUnreachable = false;
     }
 
-    /** Takes in whether another VM reaches the server. */
+    /** Records whether another VM can reach the server. */
     public void recordPeerReport(boolean reachable, long nowNanos) {
-        heardReachable |= reachable;
-        heardUnreachable |= !reachable;
-        heardNanos = nowNanos;
+        reportedReachable |= reachable;
+        reportedUnreachable |= !reachable;
+        reportedNanos = nowNanos;
     }
 
-    /** Returns what is known. */
-    public Verdict verdict(long nowNanos) {
-        boolean heardValid = nowNanos - heardNanos <= HEARD_VALID_NANOS;
-        boolean down = own == Verdict.BROKEN && heardValid && heardUnreachable && !heardReachable;
-        return down ? Verdict.DOWN : own;
+    /** Returns the state of the path at the given time. */
+    public State state(long nowNanos) {
+        boolean isReportValid = nowNanos - reportedNanos <= REPORT_VALID_NANOS;
+        boolean isDown = ownState == State.BROKEN && isReportValid && reportedUnreachable && !reportedReachable;
+        return isDown ? State.DOWN : ownState;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The evidence against one server from the work that it does. */
+/** The evidence that one server is unhealthy, from the attempts that it serves. */
 public final class ServerEvidence {
     private final LatencyComparison latency = new LatencyComparison();
-    private final CumulativeSum silence = new CumulativeSum();
+    private final CumulativeSum timeouts = new CumulativeSum();
     private final ErrorComparison errors = new ErrorComparison();
     private final Map<String, MonitoredAttempt> inFlight = new LinkedHashMap<>();
 
-    /** Takes in a try that was dispatched. */
-    public void dispatched(MonitoredAttempt watched) {
-        inFlight.put(watched.attemptId(), watched);
+    /** Adds an attempt that was dispatched. */
+    public void dispatched(MonitoredAttempt attempt) {
+        inFlight.put(attempt.attemptId(), attempt);
     }
 
-    /** Takes in that a try ended, and returns it. */
+    /** Removes and returns the attempt that ended. */
     public Optional<MonitoredAttempt> ended(String attemptId) {
         return Optional.ofNullable(inFlight.remove(attemptId));
     }
 
-    /** Takes in an answer: the tries of its kind that were dispatched before it have been overtaken. */
+    /** Marks the attempts of the same route that were dispatched before the answered one as overtaken. */
     public void markOvertaken(MonitoredAttempt answered, long observedNanos) {
         for (MonitoredAttempt other : inFlight.values()) {
             if (other.route().equals(answered.route())
@@ -33,16 +33,16 @@
         }
     }
 
-    /** Takes in a service time; returns its log-likelihood ratio, positive if it speaks for slowness. */
-    public double recordAnswer(long nanos, TypicalServiceTime usual, long observedNanos) {
-        double ratio = latency.record(nanos, usual, observedNanos);
-        silence.add(Math.min(0, ratio), observedNanos);
+    /** Records a service time; returns its log-likelihood ratio, positive if it is evidence for slowness. */
+    public double recordAnswer(long nanos, TypicalServiceTime typical, long observedNanos) {
+        double ratio = latency.record(nanos, typical, observedNanos);
+        timeouts.add(Math.min(0, ratio), observedNanos);
         return ratio;
     }
 
-    /** Takes in that a try ended without an answer after a time that is so surprising, in nats. */
-    public void recordTimeout(double surprise, long observedNanos) {
-        silence.add(surprise, observedNanos);
+    /** Records that an attempt ended without an answer, with the surprisal of its age in nats. */
+    public void recordTimeout(double surprisal, long observedNanos) {
+        timeouts.add(surprisal, observedNanos);
     }
 
     /** Sets the evidence of slowness in nats. */
@@ -55,41 +55,41 @@
         return errors;
     }
 
-    /** Returns the tries in flight, the oldest first. */
+    /** Returns the attempts in flight, the oldest first. */
     public Collection<MonitoredAttempt> inFlight() {
         return Collections.unmodifiableCollection(inFlight.values());
     }
 
-    /** Lets old evidence fade. */
+    /** Lets old evidence decay. */
     public void decay(long observedNanos) {
         latency.decay(observedNanos);
-        silence.decay(observedNanos);
+        timeouts.decay(observedNanos);
         errors.decay(observedNanos);
     }
 
-    /** Forgets all evidence; what is in flight says nothing any more. */
+    /** Clears all evidence and ignores the attempts that are in flight. */
     public void clear(long observedNanos) {
         latency.set(0, observedNanos);
-        silence.set(0, observedNanos);
+        timeouts.set(0, observedNanos);
         errors.clear();
         inFlight.values().forEach(MonitoredAttempt::ignore);
     }
 
-    /** Returns whether a try is in flight that still says something. */
+    /** Returns whether an attempt is in flight that isn't ignored. */
     public boolean isAwaitingAnswer() {
-        return inFlight.values().stream().anyMatch(watched -> !watched.isIgnored());
+        return inFlight.values().stream().anyMatch(attempt -> !attempt.isIgnored());
     }
 
     /** Returns the evidence in nats and its main cause. */
-    public Finding finding(TypicalServiceTimes usualTimes, double slowness, long observedNanos) {
-        double stall = StallDetector.evidence(inFlight.values(), usualTimes, slowness, observedNanos);
-        double silent = stall + silence.nats();
+    public Finding finding(TypicalServiceTimes typicalTimes, double slowness, long observedNanos) {
+        double stall = StallDetector.evidence(inFlight.values(), typicalTimes, slowness, observedNanos);
+        double unanswered = stall + timeouts.nats();
         double slow = latency.evidence();
         double failing = errors.evidence();
-        if (failing >= silent + slow) {
+        if (failing >= unanswered + slow) {
             return new Finding(failing, "errors");
         }
-        return new Finding(silent + slow, silent >= slow ? "stalled" : "slow");
+        return new Finding(unanswered + slow, unanswered >= slow ? "stalled" : "slow");
     }
 
     /**
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
@@ -3,7 +3,7 @@
 import io.coppershelf.health.HealthCommands;
 import io.coppershelf.health.HealthPolicy;
 import io.coppershelf.health.ServerCondition;
-import io.coppershelf.health.internal.PathCheck.Verdict;
+import io.coppershelf.health.internal.PathCheck.State;
 import io.coppershelf.health.internal.ServerEvidence.Finding;
 import java.time.Duration;
 
@@ -11,32 +11,33 @@
 public final class ServerHealth {
     private static final long PROBE_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
     private static final long TRIAL_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
-    /** A probation without any repeatable work to try the server with ends after this time. */
-    private static final long UNTRIED_LIMIT_NANOS = Duration.ofSeconds(30).toNanos();
-    /** How long suspicion of all servers at once must last before one of them may be ejected. */
-    private static final long COMMON_SUSPICION_NANOS = Duration.ofSeconds(3).toNanos();
-    /** Suspicion ends at this share of the evidence at which it began. */
+    /** A probation during which there was no idempotent request to send to the server ends after this time. */
+    private static final long MAX_PROBATION_WITHOUT_TRIAL_NANOS =
+            Duration.ofSeconds(30).toNanos();
+    /** How long all servers must be suspected at once before one of them may be ejected. */
+    private static final long MIN_COMMON_SUSPICION_NANOS = Duration.ofSeconds(3).toNanos();
+    /** Suspicion ends below this share of the threshold at which it begins. */
     private static final double HYSTERESIS = 0.5;
 
     private final String server;
     private final HealthCommands commands;
     private final ServerEvidence evidence = new ServerEvidence();
     private final PathCheck path = new PathCheck();
-    private final EjectionBackoff holdTime = new EjectionBackoff();
+    private final EjectionBackoff backoff = new EjectionBackoff();
     private final ColdStart coldStart = new ColdStart();
-    private final EjectionRight right = new EjectionRight();
+    private final EjectionGrant grant = new EjectionGrant();
 
     private HealthPolicy policy;
     private ServerCondition condition = ServerCondition.IN_SERVICE;
     private String reason = "";
     private long sinceNanos;
-    private long holdUntilNanos;
+    private long ejectedUntilNanos;
     private long probedNanos;
     private long trialNanos;
-    private int goodAnswers;
-    private boolean wantsTrial;
+    private int normalAnswers;
+    private boolean needsTrial;
 
-    /** Returns the health of a server that is in service. */
+    /** Creates the health of a server that is in service. */
     public ServerHealth(String server, HealthPolicy policy, HealthCommands commands, long nowNanos) {
         this.server = server;
         this.policy = policy;
@@ -45,7 +46,7 @@
         this.probedNanos = nowNanos;
     }
 
-    /** Sets the limits of evidence. */
+    /** Sets the evidence thresholds. */
     public void setPolicy(HealthPolicy newPolicy) {
         policy = newPolicy;
     }
@@ -59,27 +60,27 @@
         }
     }
 
-    /** Takes in that the server says it is cold. */
+    /** Records that the server reported itself as cold. */
     public void reportCold(EventTime time) {
         if (coldStart.reportCold()) {
             startCold(time);
         }
     }
 
-    /** Takes in that the server says it is ready. */
+    /** Records that the server reported itself as ready. */
     public void reportReady() {
         coldStart.reportReady();
     }
 
-    /** Takes the server out of service because it is leaving. */
-    public void drain(String why, EventTime time) {
+    /** Removes the server from service because it drains. */
+    public void drain(String newReason, EventTime time) {
         if (condition != ServerCondition.DRAINING) {
-            change(ServerCondition.DRAINING, why, time);
-            dropRight();
+            change(ServerCondition.DRAINING, newReason, time);
+            releaseGrant();
         }
     }
 
-    /** Takes the server back into service after a drain. */
+    /** Returns the server to service after a drain, with a cold start. */
     public void endDrain(EventTime time) {
         if (condition == ServerCondition.DRAINING) {
             evidence.clear(time.observedNanos());
@@ -88,67 +89,67 @@
         }
     }
 
-    /** Takes in the service time of an answer against the usual time on the server's peers. */
-    public void recordAnswer(long nanos, TypicalServiceTime usual, EventTime time) {
-        double ratio = evidence.recordAnswer(nanos, usual.slowedBy(slowness()), time.observedNanos());
+    /** Records the service time of an answer, to be compared with the typical time on the server's peers. */
+    public void recordAnswer(long nanos, TypicalServiceTime typical, EventTime time) {
+        double ratio = evidence.recordAnswer(nanos, typical.slowedBy(slowness()), time.observedNanos());
         if (condition == ServerCondition.PROBATION && ratio < 0) {
-            goodAnswers++;
+            normalAnswers++;
         }
     }
 
-    /** Takes in whether the server caused an error. */
+    /** Records whether the server caused an error. */
     public void recordError(String route, boolean error, double rateOfPeers, EventTime time) {
         evidence.errors().record(route, error, rateOfPeers, time.observedNanos());
         if (error && condition == ServerCondition.PROBATION) {
-            holdAgain(time);
+            ejectAgain(time);
         }
     }
 
-    /** Takes in that a try ended without an answer, and how surprising its age was. */
-    public void recordTimeout(double surprise, EventTime time) {
-        evidence.recordTimeout(surprise, time.observedNanos());
+    /** Records that an attempt ended without an answer, with the surprisal of its age in nats. */
+    public void recordTimeout(double surprisal, EventTime time) {
+        evidence.recordTimeout(surprisal, time.observedNanos());
         if (condition == ServerCondition.PROBATION) {
-            holdAgain(time);
+            ejectAgain(time);
         }
     }
 
-    /** Takes in that the right to eject is held until the given time. */
+    /** Records that the grant to eject is held until the given time. */
     public void granted(long untilNanos, EventTime time) {
-        boolean out = condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION;
-        if (!out && condition != ServerCondition.SUSPECTED) {
+        boolean isOutOfService = condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION;
+        if (!isOutOfService && condition != ServerCondition.SUSPECTED) {
             commands.releaseEjection(server);
             return;
         }
-        right.grant(time.nowNanos(), untilNanos);
-        if (!out && right.isHeld(time.nowNanos())) {
-            hold(reason, time);
+        grant.grant(time.nowNanos(), untilNanos);
+        if (!isOutOfService && grant.isHeld(time.nowNanos())) {
+            eject(reason, time);
         }
     }
 
-    /** Takes in that the right to eject ended early. */
+    /** Records that the grant to eject was revoked before its end. */
     public void revoked(EventTime time) {
-        right.revoke(time.nowNanos());
+        grant.revoke(time.nowNanos());
         returnToSuspicion("right to eject revoked", time);
     }
 
-    /** Ends an ejection whose right has lapsed. */
-    public void expireRight(EventTime time) {
-        if (!right.isHeld(time.nowNanos())) {
+    /** Ends an ejection whose grant has expired. */
+    public void expireGrant(EventTime time) {
+        if (!grant.isHeld(time.nowNanos())) {
             returnToSuspicion("right to eject lapsed", time);
         }
     }
 
     /**
-     * Works out whether the condition changes.
+     * Updates the condition from the evidence.
      *
-     * @param finding the evidence at hand
-     * @param common whether all other servers of the group are suspected as well
+     * @param finding the current evidence
+     * @param allSuspected whether all other servers of the group are suspected as well
      */
-    public void evaluate(Finding finding, boolean common, EventTime time) {
-        expireRight(time);
+    public void evaluate(Finding finding, boolean allSuspected, EventTime time) {
+        expireGrant(time);
         switch (condition) {
             case IN_SERVICE, COLD -> evaluateInService(finding, time);
-            case SUSPECTED -> evaluateSuspected(finding, common, time);
+            case SUSPECTED -> evaluateSuspected(finding, allSuspected, time);
             case EJECTED -> evaluateEjected(time);
             case PROBATION -> evaluateProbation(finding, time);
             case DRAINING -> {}
@@ -159,8 +160,8 @@
         if (condition == ServerCondition.COLD && coldStart.isOver(time.nowNanos())) {
             change(ServerCondition.IN_SERVICE, "warm", time);
         }
-        if (finding.nats() < suspicionNats() && path.verdict(time.nowNanos()) != Verdict.BROKEN) {
-            holdTime.recordHealthy(time.nowNanos());
+        if (finding.nats() < suspicionNats() && path.state(time.nowNanos()) != State.BROKEN) {
+            backoff.recordHealthy(time.nowNanos());
             return;
         }
         path.reset();
@@ -168,28 +169,28 @@
         checkPath(time);
     }
 
-    private void evaluateSuspected(Finding finding, boolean common, EventTime time) {
-        Verdict verdict = path.verdict(time.nowNanos());
-        if (verdict == Verdict.CLEAR && finding.nats() < suspicionNats() * HYSTERESIS) {
+    private void evaluateSuspected(Finding finding, boolean allSuspected, EventTime time) {
+        State pathState = path.state(time.nowNanos());
+        if (pathState == State.CLEAR && finding.nats() < suspicionNats() * HYSTERESIS) {
             change(ServerCondition.IN_SERVICE, "recovered", time);
-            dropRight();
+            releaseGrant();
             return;
         }
-        if (verdict != Verdict.CLEAR && time.nowNanos() - probedNanos >= PROBE_INTERVAL_NANOS) {
+        if (pathState != State.CLEAR && time.nowNanos() - probedNanos >= PROBE_INTERVAL_NANOS) {
             checkPath(time);
         }
-        reason = describe(verdict, finding);
-        boolean strong = finding.nats() >= ejectionNats() || verdict == Verdict.DOWN;
-        wantsTrial = verdict == Verdict.CLEAR && !strong;
-        boolean early = common && time.nowNanos() - sinceNanos < COMMON_SUSPICION_NANOS;
-        boolean reached = verdict == Verdict.CLEAR || verdict == Verdict.DOWN;
-        if (strong && reached && !early && right.shouldRequest(time.nowNanos())) {
+        reason = describe(pathState, finding);
+        boolean isStrong = finding.nats() >= ejectionNats() || pathState == State.DOWN;
+        needsTrial = pathState == State.CLEAR && !isStrong;
+        boolean isEarly = allSuspected && time.nowNanos() - sinceNanos < MIN_COMMON_SUSPICION_NANOS;
+        boolean isPathKnown = pathState == State.CLEAR || pathState == State.DOWN;
+        if (isStrong && isPathKnown && !isEarly && grant.shouldRequest(time.nowNanos())) {
             commands.requestEjection(server, reason);
         }
     }
 
-    private static String describe(Verdict verdict, Finding finding) {
-        return switch (verdict) {
+    private static String describe(State pathState, Finding finding) {
+        return switch (pathState) {
             case BROKEN -> "unreachable from this VM";
             case DOWN -> "unreachable from several VMs";
             case CLEAR, UNKNOWN -> finding.cause();
@@ -203,113 +204,115 @@
     }
 
     private void evaluateEjected(EventTime time) {
-        renewRight(time);
-        if (time.nowNanos() - holdUntilNanos >= 0) {
+        renewGrant(time);
+        if (time.nowNanos() - ejectedUntilNanos >= 0) {
             evidence.clear(time.observedNanos());
-            goodAnswers = 0;
+            normalAnswers = 0;
             change(ServerCondition.PROBATION, reason, time);
         }
     }
 
     private void evaluateProbation(Finding finding, EventTime time) {
-        renewRight(time);
+        renewGrant(time);
         if (finding.nats() >= suspicionNats()) {
-            holdAgain(time);
-        } else if (goodAnswers >= policy.probationAnswers() || isUntried(time.nowNanos())) {
+            ejectAgain(time);
+        } else if (normalAnswers >= policy.probationAnswers() || hadNoTrial(time.nowNanos())) {
             coldStart.begin(time.nowNanos());
             change(ServerCondition.IN_SERVICE, "probation over", time);
-            dropRight();
+            releaseGrant();
         }
     }
 
-    private boolean isUntried(long nowNanos) {
-        return trialNanos - sinceNanos < 0 && nowNanos - sinceNanos >= UNTRIED_LIMIT_NANOS;
+    private boolean hadNoTrial(long nowNanos) {
+        return trialNanos - sinceNanos < 0 && nowNanos - sinceNanos >= MAX_PROBATION_WITHOUT_TRIAL_NANOS;
     }
 
-    private void renewRight(EventTime time) {
-        if (right.shouldRequest(time.nowNanos())) {
+    private void renewGrant(EventTime time) {
+        if (grant.shouldRequest(time.nowNanos())) {
             commands.requestEjection(server, reason);
         }
     }
 
-    private void holdAgain(EventTime time) {
-        hold("probation failed", time);
+    private void ejectAgain(EventTime time) {
+        eject("probation failed", time);
     }
 
-    private void hold(String why, EventTime time) {
-        holdUntilNanos =
-                time.nowNanos() + holdTime.nextDuration(time.nowNanos()).toNanos();
-        change(ServerCondition.EJECTED, why, time);
+    private void eject(String newReason, EventTime time) {
+        ejectedUntilNanos =
+                time.nowNanos() + backoff.nextDuration(time.nowNanos()).toNanos();
+        change(ServerCondition.EJECTED, newReason, time);
     }
 
-    private void returnToSuspicion(String why, EventTime time) {
+    private void returnToSuspicion(String newReason, EventTime time) {
         if (condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION) {
             evidence.setSlowness(policy.ejectionNats(), time.observedNanos());
-            change(ServerCondition.SUSPECTED, why, time);
+            change(ServerCondition.SUSPECTED, newReason, time);
         }
     }
 
-    private void dropRight() {
-        if (right.release()) {
+    private void releaseGrant() {
+        if (grant.release()) {
             commands.releaseEjection(server);
         }
     }
 
-    private void change(ServerCondition to, String why, EventTime time) {
+    private void change(ServerCondition to, String newReason, EventTime time) {
         if (condition != to) {
-            commands.conditionChanged(server, condition, to, why);
+            commands.conditionChanged(server, condition, to, newReason);
             sinceNanos = time.nowNanos();
         }
         condition = to;
-        reason = why;
+        reason = newReason;
     }
 
-    /** Cancels the tries that are overdue on a sick server and may be repeated. */
-    public void cancelOverdue(Finding finding, TypicalServiceTimes usualTimes, long observedNanos) {
-        boolean sick = condition == ServerCondition.EJECTED
+    /**
+     * Cancels the idempotent attempts that are overdue on an unhealthy server, so that they can be retried elsewhere.
+     */
+    public void cancelOverdue(Finding finding, TypicalServiceTimes typicalTimes, long observedNanos) {
+        boolean unhealthy = condition == ServerCondition.EJECTED
                 || condition == ServerCondition.PROBATION
                 || (condition == ServerCondition.SUSPECTED && finding.nats() >= ejectionNats());
-        if (!sick) {
+        if (!unhealthy) {
             return;
         }
-        OverdueAttempts.of(evidence, usualTimes, observedNanos).stream()
+        OverdueAttempts.of(evidence, typicalTimes, observedNanos).stream()
                 .filter(MonitoredAttempt::markCancelled)
-                .forEach(watched -> commands.cancel(watched.attemptId(), server));
+                .forEach(attempt -> commands.cancel(attempt.attemptId(), server));
     }
 
-    /** Returns the slots that new work may use, 0 if the server gets none. */
+    /** Returns the slots that new requests may use, 0 if the server receives none. */
     public int allowedSlots(int slots, long nowNanos) {
         return switch (condition) {
             case EJECTED, PROBATION, DRAINING -> 0;
-            case SUSPECTED -> path.verdict(nowNanos) == Verdict.BROKEN ? 0 : slots;
+            case SUSPECTED -> path.state(nowNanos) == State.BROKEN ? 0 : slots;
             case IN_SERVICE, COLD -> coldStart.allowedSlots(slots, nowNanos);
         };
     }
 
-    /** Returns whether a try of idempotent work is due to learn more of the server in suspicion or probation. */
+    /** Returns whether the server is due for a trial with an idempotent request, in suspicion or probation. */
     public boolean isTrialDue(long nowNanos) {
         if (nowNanos - trialNanos < TRIAL_INTERVAL_NANOS) {
             return false;
         }
         return switch (condition) {
-            case SUSPECTED -> wantsTrial && nowNanos - sinceNanos >= TRIAL_INTERVAL_NANOS;
+            case SUSPECTED -> needsTrial && nowNanos - sinceNanos >= TRIAL_INTERVAL_NANOS;
             case PROBATION -> !evidence.isAwaitingAnswer();
             case IN_SERVICE, COLD, EJECTED, DRAINING -> false;
         };
     }
 
-    /** Takes in that a try was sent. */
-    public void dispatched(MonitoredAttempt watched, long nowNanos) {
-        evidence.dispatched(watched);
+    /** Records that an attempt was sent. */
+    public void dispatched(MonitoredAttempt attempt, long nowNanos) {
+        evidence.dispatched(attempt);
         trialNanos = nowNanos;
     }
 
-    /** Returns the evidence, to be fed and read. */
+    /** Returns the evidence on the server, which the caller updates. */
     public ServerEvidence evidence() {
         return evidence;
     }
 
-    /** Returns what is known of the path to the server. */
+    /** Returns the check of the network path to the server. */
     public PathCheck path() {
         return path;
     }
@@ -324,12 +327,12 @@
         return condition == ServerCondition.IN_SERVICE ? "" : reason;
     }
 
-    /** Returns the factor by which the server may be slower than its peers. */
+    /** Returns the factor by which the server may be slower than its peers without being suspected. */
     public double slowness() {
         return condition == ServerCondition.COLD ? ColdStart.SLOWNESS : 1.0;
     }
 
-    /** Returns the evidence at which the server is suspected. */
+    /** Returns the evidence in nats at which the server is suspected. */
     public double suspicionNats() {
         return policy.suspicionNats() * historyFactor();
     }
@@ -339,6 +342,6 @@
     }
 
     private double historyFactor() {
-        return holdTime.wasRecentlyEjected() ? policy.historyFactor() : 1.0;
+        return backoff.wasRecentlyEjected() ? policy.historyFactor() : 1.0;
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/health/internal/ComparisonsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/health/internal/ComparisonsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ComparisonsTest {
-    private static final TypicalServiceTime USUAL = new TypicalServiceTime(Math.log(50e6), 0.5);
+    private static final TypicalServiceTime TYPICAL = new TypicalServiceTime(Math.log(50e6), 0.5);
 
     @ParameterizedTest
     @CsvSource({"3, 20, 8", "5, 20, 4", "20, 20, 3"})
@@ -16,23 +16,23 @@
         LatencyComparison comparison = new LatencyComparison();
         int answers = 0;
         while (comparison.evidence() < limit && answers < 100) {
-            comparison.record((long) (50e6 * slowness), USUAL, 0);
+            comparison.record((long) (50e6 * slowness), TYPICAL, 0);
             answers++;
         }
         assertThat(answers).isAtMost(mostAnswers * 2);
     }
 
     @Test
-    void takesUsualServiceTimesForNoEvidence() {
+    void findsNoEvidenceInTypicalServiceTimes() {
         LatencyComparison comparison = new LatencyComparison();
         for (int answer = 0; answer < 1_000; answer++) {
-            comparison.record((long) (answer % 2 == 0 ? 30e6 : 80e6), USUAL, 0);
+            comparison.record((long) (answer % 2 == 0 ? 30e6 : 80e6), TYPICAL, 0);
         }
         assertThat(comparison.evidence()).isLessThan(1.0);
     }
 
     @Test
-    void fadesWithoutAnswers() {
+    void decaysWithoutAnswers() {
         LatencyComparison comparison = new LatencyComparison();
         comparison.set(20, 0);
         comparison.decay(Duration.ofSeconds(30).toNanos());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void knowsTheErrorsOfPeersOnly() {
+    void returnsTheErrorRateOfPeersOnly() {
         ErrorRates rates = new ErrorRates();
         for (int answer = 0; answer < 100; answer++) {
             rates.record("a", "rotavis/week", true);
--- a/coppershelf/src/test/java/io/coppershelf/health/internal/StallDetectorTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/health/internal/StallDetectorTest.java
@@ -12,23 +12,23 @@
 
 class StallDetectorTest {
     private static final String ROUTE = "rotavis/week";
-    private static final long USUAL = Duration.ofMillis(50).toNanos();
+    private static final long TYPICAL = Duration.ofMillis(50).toNanos();
 
-    private final TypicalServiceTimes usualTimes = new TypicalServiceTimes();
+    private final TypicalServiceTimes typicalTimes = new TypicalServiceTimes();
 
     @BeforeEach
-    void learnUsualTimes() {
+    void recordTypicalTimes() {
         for (int sample = 0; sample < 20; sample++) {
-            usualTimes.record("a", ROUTE, USUAL);
+            typicalTimes.record("a", ROUTE, TYPICAL);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"1, 1, 0, 1", "1, 4, 5, 9", "2, 4, 9, 15", "6, 4, 25, 35", "1, 1000, 13, 13", "6, 1, 0, 6"})
-    void growsWithTheAgeAndTheNumberOfTriesInFlight(int tries, int timesUsual, double least, double most) {
-        MonitoredAttempt watched = new MonitoredAttempt("try", ROUTE, true, 0, 0);
-        double evidence =
-                StallDetector.evidence(Collections.nCopies(tries, watched), usualTimes, 1.0, timesUsual * USUAL);
+    void growsWithTheAgeAndTheNumberOfAttemptsInFlight(int attempts, int timesTypical, double least, double most) {
+        MonitoredAttempt attempt = new MonitoredAttempt("try", ROUTE, true, 0, 0);
+        double evidence = StallDetector.evidence(
+                Collections.nCopies(attempts, attempt), typicalTimes, 1.0, timesTypical * TYPICAL);
         assertThat(evidence).isAtLeast(least);
         assertThat(evidence).isAtMost(most);
     }
@@ -43,28 +43,28 @@
     }
 
     @Test
-    void isWeakerForATryThatWasOvertaken() {
-        MonitoredAttempt watched = new MonitoredAttempt("try", ROUTE, true, 0, 0);
-        double before = StallDetector.evidence(List.of(watched), usualTimes, 1.0, 10 * USUAL);
-        watched.recordOvertaken();
-        assertThat(StallDetector.evidence(List.of(watched), usualTimes, 1.0, 10 * USUAL))
+    void isWeakerForAnAttemptThatWasOvertaken() {
+        MonitoredAttempt attempt = new MonitoredAttempt("try", ROUTE, true, 0, 0);
+        double before = StallDetector.evidence(List.of(attempt), typicalTimes, 1.0, 10 * TYPICAL);
+        attempt.recordOvertaken();
+        assertThat(StallDetector.evidence(List.of(attempt), typicalTimes, 1.0, 10 * TYPICAL))
                 .isWithin(1e-9)
                 .of(before - 2);
     }
 
     @Test
     void isWeakerForAColdServer() {
-        MonitoredAttempt watched = new MonitoredAttempt("try", ROUTE, true, 0, 0);
-        assertThat(StallDetector.evidence(List.of(watched), usualTimes, ColdStart.SLOWNESS, 8 * USUAL))
+        MonitoredAttempt attempt = new MonitoredAttempt("try", ROUTE, true, 0, 0);
+        assertThat(StallDetector.evidence(List.of(attempt), typicalTimes, ColdStart.SLOWNESS, 8 * TYPICAL))
                 .isLessThan(1.0);
     }
 
     @Test
-    void saysNothingOfUnknownKindsAndIgnoredTries() {
+    void findsNoEvidenceInUnknownRoutesAndIgnoredAttempts() {
         MonitoredAttempt unknown = new MonitoredAttempt("a", "rotavis/claim", true, 0, 0);
         MonitoredAttempt ignored = new MonitoredAttempt("b", ROUTE, true, 0, 0);
         ignored.ignore();
-        assertThat(StallDetector.evidence(List.of(unknown, ignored), usualTimes, 1.0, 100 * USUAL))
+        assertThat(StallDetector.evidence(List.of(unknown, ignored), typicalTimes, 1.0, 100 * TYPICAL))
                 .isEqualTo(0.0);
     }
 }
