--- a/coppershelf/src/main/java/io/coppershelf/admission/AdmissionComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AdmissionComponent.java
@@ -5,7 +5,7 @@
 import io.coppershelf.component.ComponentRegistry;
 import java.time.Duration;
 
-/** The part that serves server groups as their owner and forwards tries to other owners. */
+/** The component that serves server groups as their owner and forwards attempts to other owners. */
 public final class AdmissionComponent implements Component {
     private final Admission admission = new Admission();
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/AttemptRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptRequest.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * One try of a caller's request, on its way to the owner of a server group.
+ * One attempt at a caller's request, to be sent to the owner of a server group.
  *
- * @param attemptId unique over the fleet and all tries
- * @param group the server group that is to serve it
- * @param route the name of the request kind
+ * @param attemptId the id of the attempt, unique in the fleet
+ * @param group the server group that serves it
+ * @param route the name of the route
  * @param method the HTTP method
  * @param target the path and query
- * @param headers the caller's headers that go on
- * @param body the whole body
- * @param idempotent whether it may be repeated
+ * @param headers the caller's headers that are forwarded
+ * @param body the complete body
+ * @param idempotent whether it may be retried
  * @param weight its weight
  * @param largestAnswer the largest answer body in bytes
- * @param hedge whether it is a second, parallel try
+ * @param hedge whether it is a hedge
  * @param deadlineNanos the monotonic time after which the answer is of no use
  */
 public record AttemptRequest(
--- a/coppershelf/src/main/java/io/coppershelf/admission/AttemptResult.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptResult.java
@@ -7,26 +7,26 @@
 import java.util.Optional;
 
 /**
- * How a try ended at the owner of its group.
+ * The result of an attempt at the owner of its group.
  *
- * @param answer the whole answer, empty if there is an error
+ * @param answer the complete answer, empty if there is an error
  * @param error why there is no answer; its outcome is {@code NOT_RUN} only with proof
- * @param retryAfter when to come back, if the owner knows
- * @param load the load of the group after the try, empty if the owner did not say
+ * @param retryAfter when to retry, if the owner provided it
+ * @param load the load of the group after the attempt, empty if the owner did not provide it
  */
 public record AttemptResult(
         Optional<Answer> answer, Optional<ErrorKind> error, Optional<Duration> retryAfter, Optional<GroupLoad> load) {
-    /** Returns the result of a try that failed. */
+    /** Returns the result of an attempt that failed. */
     public static AttemptResult failed(ErrorKind error) {
         return new AttemptResult(Optional.empty(), Optional.of(error), Optional.empty(), Optional.empty());
     }
 
-    /** Returns the result of a try that was refused, with a time to come back. */
+    /** Returns the result of an attempt that was refused, with the time after which to retry. */
     public static AttemptResult refused(ErrorKind error, Duration retryAfter) {
         return new AttemptResult(Optional.empty(), Optional.of(error), Optional.of(retryAfter), Optional.empty());
     }
 
-    /** Returns what a backend server made of the try. */
+    /** Returns the result of an attempt that a backend server ended. */
     public static AttemptResult of(BackendResult result) {
         return new AttemptResult(result.answer(), result.error(), Optional.empty(), Optional.empty());
     }
@@ -37,10 +37,10 @@
     }
 
     /**
-     * The load of a server group, as its owner sees it.
+     * The load of a server group, as its owner reports it.
      *
-     * @param freeSlots the slots that could take work
-     * @param expectedWaitNanos the expected wait of a new request of the least weight
+     * @param freeSlots the slots that can accept an attempt
+     * @param expectedWaitNanos the expected wait of a new request of the lowest weight
      */
     public record GroupLoad(int freeSlots, long expectedWaitNanos) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
@@ -5,33 +5,33 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** What a server group wants done. */
+/** An action that a server group requests from its runtime. */
 public sealed interface GroupAction {
-    /** Send the try to the server now. */
+    /** Sends the attempt to the server. */
     record Dispatch(String attemptId, String server) implements GroupAction {}
 
-    /** Answer the try as not run, at once. */
+    /** Answers the attempt as not run. */
     record Refuse(String attemptId, ErrorKind error, Duration retryAfter) implements GroupAction {}
 
-    /** Cancel the try on its server; {@link GroupEvent.AttemptEnded} follows. */
+    /** Cancels the attempt on its server; {@link GroupEvent.AttemptEnded} follows. */
     record CancelOnServer(String attemptId, String server) implements GroupAction {}
 
-    /** Ask for the right to eject the server, or renew it. */
+    /** Requests a grant to eject the server, or renews it. */
     record RequestEjection(String server, String reason) implements GroupAction {}
 
-    /** Give the right to eject the server back. */
+    /** Releases the grant to eject the server. */
     record ReleaseEjection(String server) implements GroupAction {}
 
-    /** Probe the server. */
+    /** Probes the server. */
     record Probe(String server) implements GroupAction {}
 
-    /** Ask VMs of other data centres whether they can reach the server. */
+    /** Queries VMs of other data centres whether they can reach the server. */
     record QueryReachability(String server) implements GroupAction {}
 
-    /** Tell the other owners of the service the usual service times, per route in nanoseconds. */
+    /** Sends the typical service times, per route in nanoseconds, to the other owners of the service. */
     record ShareServiceTimes(Map<String, Long> typicalNanos) implements GroupAction {}
 
-    /** Record the change of a server's condition on the time line. */
+    /** Records the change of a server's condition on the time line. */
     record ConditionChanged(String server, ServerCondition from, ServerCondition to, String reason)
             implements GroupAction {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What happens to a server group. */
+/** An event that a server group handles. */
 public sealed interface GroupEvent {
     /**
-     * The service or its backend servers in this group changed; servers not named are gone.
+     * The service or its backend servers in this group changed; servers that aren't listed were removed.
      *
      * @param service the service
      * @param servers the servers of the group
@@ -21,53 +21,52 @@
     /**
      * A request arrived.
      *
-     * @param attemptId unique over the fleet
-     * @param route the request kind
-     * @param idempotent whether it may be repeated
+     * @param attemptId the id of the attempt, unique in the fleet
+     * @param route the route
+     * @param idempotent whether it may be retried
      * @param weight its weight
-     * @param deadlineNanos when its answer is of no use any more
-     * @param hedge whether it is a second, parallel try of an idempotent request, to be run on a free slot or not at
-     *     all
+     * @param deadlineNanos the monotonic time after which its answer is of no use
+     * @param hedge whether it is a hedge of an idempotent request, to be run on a free slot or refused
      */
     record RequestArrived(
             String attemptId, String route, boolean idempotent, int weight, long deadlineNanos, boolean hedge)
             implements GroupEvent {}
 
-    /** The sender gave the request up. */
+    /** The sender cancelled the request. */
     record RequestCancelled(String attemptId) implements GroupEvent {}
 
     /**
-     * A dispatched try ended.
+     * A dispatched attempt ended.
      *
-     * @param attemptId the try
-     * @param status the HTTP status of a whole answer, empty if there is none
+     * @param attemptId the attempt
+     * @param status the HTTP status of a complete answer, empty if there is none
      * @param error why there is no answer
-     * @param serverState what the server said of itself
+     * @param serverState the state that the server reported
      */
     record AttemptEnded(String attemptId, Optional<Integer> status, Optional<ErrorKind> error, ServerState serverState)
             implements GroupEvent {}
 
-    /** The server reported itself through a probe; empty state if the probe failed. */
+    /** A probe ended; the state is empty if the probe failed. */
     record ProbeEnded(String server, Optional<ServerState> state) implements GroupEvent {}
 
     /**
-     * Another owner of the same service told the usual service times that it sees, per route in nanoseconds.
+     * Another owner of the same service sent the typical service times that it measured.
      *
      * @param sender the VM
-     * @param typicalNanos the usual service time by route
+     * @param typicalNanos the typical service time in nanoseconds by route
      */
     record ServiceTimesReceived(String sender, Map<String, Long> typicalNanos) implements GroupEvent {}
 
-    /** Another VM says whether it can reach the server, after {@link GroupAction.QueryReachability}. */
+    /** Another VM reported whether it can reach the server, after {@link GroupAction.QueryReachability}. */
     record ReachabilityReported(String server, boolean reachable) implements GroupEvent {}
 
-    /** The right to eject was granted or renewed. */
+    /** The grant to eject was issued or renewed. */
     record EjectionGranted(String server, long untilNanos) implements GroupEvent {}
 
-    /** The right to eject was refused. */
+    /** The request for a grant to eject was refused. */
     record EjectionRefused(String server) implements GroupEvent {}
 
-    /** The right to eject ended early, for instance because a ticket raised the floor. */
+    /** The grant to eject was revoked before its end, for example because a ticket raised the floor. */
     record EjectionRevoked(String server) implements GroupEvent {}
 
     /** Time passed; sent at least every 50 ms. */
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupName.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupName.java
@@ -11,7 +11,9 @@
  * @param dataCentre the data centre
  */
 public record GroupName(String service, String dataCentre) {
-    /** The number of VMs that may serve a group: its owner and those that stand in when it can't be reached. */
+    /**
+     * The number of VMs that may serve a group: its owner, and the candidates that replace it when it can't be reached.
+     */
     public static final int OWNER_CANDIDATES = 3;
 
     /** Returns the VMs that may serve the group, the owner first. */
--- a/coppershelf/src/main/java/io/coppershelf/admission/OwnerLookup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/OwnerLookup.java
@@ -7,14 +7,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/**
- * Remembers the owners of server groups for as long as the view of the fleet stays. Safe for use by several threads.
- */
+/** Caches the owners of server groups until the view of the fleet changes. Safe for use by several threads. */
 public final class OwnerLookup {
     private final FleetView.Source fleet;
     private volatile Table table;
 
-    /** Creates a lookup over the view in force. */
+    /** Creates a lookup in the current view of the fleet. */
     public OwnerLookup(FleetView.Source fleet) {
         this.fleet = fleet;
         this.table = new Table(fleet.current());
@@ -26,7 +24,7 @@
         return current.owners.computeIfAbsent(group, key -> key.owners(current.view));
     }
 
-    /** Returns the same VMs, those that this one can reach first. */
+    /** Returns the VMs that may serve the group, those that this VM can reach first. */
     public List<Vm> ownersReachableFirst(GroupName group) {
         FleetView view = fleet.current();
         return owners(group).stream()
--- a/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
@@ -43,8 +43,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The decisions of the owner of a server group: exact slots, a queue by deadline, early refusal of the least weighted
- * kinds, and the health of the servers.
+ * The decisions of the owner of a server group: exact slot counts, a queue ordered by deadline, early refusal of the
+ * requests with the lowest weight, and the health of the servers.
  *
  * <pre>{@code
  * ServerGroup group = ServerGroup.create(new GroupName("rotavis", "herning"), new Random(seed));
@@ -53,10 +53,13 @@
  * }</pre>
  */
 public final class ServerGroup implements ServerGroupDecisions {
-    /** A probation try must have this multiple of its usual time left, so that it can be run again elsewhere. */
-    private static final int TRIAL_SLACK = 10;
-    /** A try goes to a suspected server once it has less than this multiple of the time that it needs elsewhere. */
-    private static final int SUSPECTED_SLACK = 2;
+    /** A trial request must have this multiple of its expected time left, so that it can be retried elsewhere. */
+    private static final int TRIAL_SLACK_FACTOR = 10;
+    /**
+     * An attempt is sent to a suspected server once the time left is less than this multiple of the time that it needs
+     * elsewhere.
+     */
+    private static final int SUSPECTED_SLACK_FACTOR = 2;
 
     private final GroupName name;
     private final SlotTable slots = new SlotTable();
@@ -66,23 +69,23 @@
     private final ShedBackoff backoff = new ShedBackoff();
     private final Map<String, ServerSpec> servers = new TreeMap<>();
     private final ActionCollector actions = new ActionCollector();
-    private final RetryAfterEstimate retryAfter;
+    private final RetryAfterEstimate retryAfterEstimate;
     private final GroupHealth health;
-    private final LeastLoadedSelector choice;
+    private final LeastLoadedSelector selector;
 
     private ServerGroup(GroupName name, RandomGenerator random, Function<ServiceSpec, HealthPolicy> policies) {
         this.name = name;
-        this.retryAfter = new RetryAfterEstimate(random);
+        this.retryAfterEstimate = new RetryAfterEstimate(random);
         this.health = new GroupHealth(policies, actions);
-        this.choice = new LeastLoadedSelector(slots, health, backoff, random);
+        this.selector = new LeastLoadedSelector(slots, health, backoff, random);
     }
 
-    /** Returns the decisions for the group, without servers yet. */
+    /** Creates the decisions for the group, without servers yet. */
     public static ServerGroup create(GroupName name, RandomGenerator random) {
         return create(name, random, service -> HealthPolicy.forDetectionWeight(service.detectionWeight()));
     }
 
-    /** Returns the decisions for the group with other limits of evidence. */
+    /** Creates the decisions for the group with the given evidence thresholds. */
     public static ServerGroup create(
             GroupName name, RandomGenerator random, Function<ServiceSpec, HealthPolicy> policies) {
         return new ServerGroup(name, random, policies);
@@ -92,30 +95,30 @@
     public List<GroupAction> on(GroupEvent event, long nowNanos) {
         health.advance(nowNanos);
         if (event instanceof RequestArrived request) {
-            arrive(request, nowNanos);
+            handleArrival(request, nowNanos);
         } else if (event instanceof AttemptEnded ended) {
-            end(ended, nowNanos);
+            handleEnd(ended, nowNanos);
         } else if (event instanceof Tick) {
             health.tick(nowNanos);
-            refuseHopeless(nowNanos);
+            shedQueue(nowNanos);
         } else if (event instanceof RequestCancelled cancelled) {
             cancel(cancelled.attemptId());
         } else if (event instanceof Configured configured) {
             configure(configured, nowNanos);
         } else {
-            tellHealth(event, nowNanos);
+            updateHealth(event, nowNanos);
         }
-        dispatchWaiting(nowNanos);
-        return actions.takeAll();
+        dispatchQueued(nowNanos);
+        return actions.removeAll();
     }
 
-    private void tellHealth(GroupEvent event, long nowNanos) {
+    private void updateHealth(GroupEvent event, long nowNanos) {
         if (event instanceof ProbeEnded probe) {
             health.probeEnded(probe.server(), probe.state(), nowNanos);
-        } else if (event instanceof ServiceTimesReceived heard) {
-            health.serviceTimesReceived(heard.sender(), heard.typicalNanos(), nowNanos);
-        } else if (event instanceof ReachabilityReported heard) {
-            health.reachabilityReported(heard.server(), heard.reachable(), nowNanos);
+        } else if (event instanceof ServiceTimesReceived message) {
+            health.serviceTimesReceived(message.sender(), message.typicalNanos(), nowNanos);
+        } else if (event instanceof ReachabilityReported report) {
+            health.reachabilityReported(report.server(), report.reachable(), nowNanos);
         } else if (event instanceof EjectionGranted granted) {
             health.ejectionGranted(granted.server(), granted.untilNanos(), nowNanos);
         } else if (event instanceof EjectionRevoked revoked) {
@@ -129,53 +132,54 @@
         health.configure(configured.service(), configured.servers(), nowNanos);
     }
 
-    private void arrive(RequestArrived request, long nowNanos) {
+    private void handleArrival(RequestArrived request, long nowNanos) {
         WaitEstimate estimate = estimate(nowNanos);
         boolean admitted = request.hedge()
                 ? queue.isEmpty()
-                        && choice.selectUnsuspected(servers.values(), nowNanos).isPresent()
+                        && selector.selectUnsuspected(servers.values(), nowNanos)
+                                .isPresent()
                 : admission.admits(request, estimate, nowNanos);
-        retryAfter.recordDecision(admitted);
+        retryAfterEstimate.recordDecision(admitted);
         if (admitted) {
             queue.add(new QueuedAttempt(request, serviceTimes.meanNanos(request.route())));
             return;
         }
         ErrorKind error = estimate.slots() == 0 ? ErrorKind.NO_SERVER : ErrorKind.OVERLOADED;
-        actions.add(new Refuse(request.attemptId(), error, retryAfter.retryAfter(expectedWaitNanos(estimate))));
+        actions.add(new Refuse(request.attemptId(), error, retryAfterEstimate.retryAfter(expectedWaitNanos(estimate))));
     }
 
-    private void refuseHopeless(long nowNanos) {
-        WaitEstimate estimate = choice.largestEstimate(servers.values(), serviceTimes, nowNanos);
-        for (QueuedAttempt hopeless : QueueShedder.selectAttempts(queue, estimate, nowNanos)) {
-            queue.remove(hopeless.attemptId());
-            Duration delay = retryAfter.retryAfter(expectedWaitNanos(estimate));
-            actions.add(new Refuse(hopeless.attemptId(), ErrorKind.OVERLOADED, delay));
+    private void shedQueue(long nowNanos) {
+        WaitEstimate estimate = selector.estimateWithSuspected(servers.values(), serviceTimes, nowNanos);
+        for (QueuedAttempt shed : QueueShedder.selectAttempts(queue, estimate, nowNanos)) {
+            queue.remove(shed.attemptId());
+            Duration delay = retryAfterEstimate.retryAfter(expectedWaitNanos(estimate));
+            actions.add(new Refuse(shed.attemptId(), ErrorKind.OVERLOADED, delay));
         }
     }
 
     private void cancel(String attemptId) {
         queue.remove(attemptId)
-                .ifPresent(waiting -> actions.add(new Refuse(attemptId, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO)));
+                .ifPresent(queued -> actions.add(new Refuse(attemptId, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO)));
         slots.find(attemptId).ifPresent(running -> actions.add(new CancelOnServer(attemptId, running.server())));
     }
 
-    private void end(AttemptEnded ended, long nowNanos) {
+    private void handleEnd(AttemptEnded ended, long nowNanos) {
         Optional<RunningAttempt> running = slots.release(ended.attemptId());
         if (running.isEmpty()) {
             return;
         }
-        RunningAttempt done = running.get();
+        RunningAttempt attempt = running.get();
         AttemptEnd end = AttemptEndClassifier.classify(ended);
         if (end == AttemptEnd.ANSWERED) {
-            backoff.recordSuccess(done.server());
-            serviceTimes.record(done.request().route(), health.observedNanos() - done.dispatchedNanos());
+            backoff.recordSuccess(attempt.server());
+            serviceTimes.record(attempt.request().route(), health.observedNanos() - attempt.dispatchedNanos());
         } else if (end == AttemptEnd.REFUSED) {
-            backoff.recordRefusal(done.server(), nowNanos);
+            backoff.recordRefusal(attempt.server(), nowNanos);
         }
-        health.ended(ended.attemptId(), done.server(), end, ended.serverState(), nowNanos);
+        health.ended(ended.attemptId(), attempt.server(), end, ended.serverState(), nowNanos);
     }
 
-    private void dispatchWaiting(long nowNanos) {
+    private void dispatchQueued(long nowNanos) {
         dispatchTrial(nowNanos);
         while (!queue.isEmpty()) {
             QueuedAttempt first = queue.attempts().get(0);
@@ -193,23 +197,23 @@
         }
     }
 
-    private boolean isTooLate(QueuedAttempt waiting, long nowNanos) {
-        return waiting.slackNanos(nowNanos) < waiting.expectedNanos() / 2;
+    private boolean isTooLate(QueuedAttempt queued, long nowNanos) {
+        return queued.slackNanos(nowNanos) < queued.expectedNanos() / 2;
     }
 
-    private Optional<String> serverFor(QueuedAttempt waiting, long nowNanos) {
-        Optional<String> best = choice.selectUnsuspected(servers.values(), nowNanos);
-        if (best.isPresent() || waiting.request().hedge() || canWait(waiting, nowNanos)) {
+    private Optional<String> serverFor(QueuedAttempt queued, long nowNanos) {
+        Optional<String> best = selector.selectUnsuspected(servers.values(), nowNanos);
+        if (best.isPresent() || queued.request().hedge() || canStayQueued(queued, nowNanos)) {
             return best;
         }
-        return choice.selectSuspected(servers.values(), nowNanos);
+        return selector.selectSuspected(servers.values(), nowNanos);
     }
 
-    private boolean canWait(QueuedAttempt waiting, long nowNanos) {
+    private boolean canStayQueued(QueuedAttempt queued, long nowNanos) {
         WaitEstimate estimate = estimate(nowNanos);
-        long needed = estimate.waitNanos(queue, 0) + waiting.expectedNanos();
-        return choice.hasUnsuspected(servers.values(), nowNanos)
-                && waiting.slackNanos(nowNanos) >= SUSPECTED_SLACK * needed;
+        long needed = estimate.waitNanos(queue, 0) + queued.expectedNanos();
+        return selector.hasUnsuspected(servers.values(), nowNanos)
+                && queued.slackNanos(nowNanos) >= SUSPECTED_SLACK_FACTOR * needed;
     }
 
     private void dispatchTrial(long nowNanos) {
@@ -218,25 +222,25 @@
         }
         health.findServerDueForTrial(nowNanos)
                 .filter(server -> slots.inFlight(server) < servers.get(server).slots())
-                .ifPresent(server -> queue.removeFirst(waiting -> isFitForTrial(waiting, nowNanos))
-                        .ifPresent(waiting -> dispatch(waiting, server, nowNanos)));
+                .ifPresent(server -> queue.removeFirst(queued -> isFitForTrial(queued, nowNanos))
+                        .ifPresent(queued -> dispatch(queued, server, nowNanos)));
     }
 
-    private boolean isFitForTrial(QueuedAttempt waiting, long nowNanos) {
-        return waiting.request().idempotent()
-                && !waiting.request().hedge()
-                && waiting.slackNanos(nowNanos) >= TRIAL_SLACK * waiting.expectedNanos();
+    private boolean isFitForTrial(QueuedAttempt queued, long nowNanos) {
+        return queued.request().idempotent()
+                && !queued.request().hedge()
+                && queued.slackNanos(nowNanos) >= TRIAL_SLACK_FACTOR * queued.expectedNanos();
     }
 
-    private void dispatch(QueuedAttempt waiting, String server, long nowNanos) {
-        RequestArrived request = waiting.request();
+    private void dispatch(QueuedAttempt queued, String server, long nowNanos) {
+        RequestArrived request = queued.request();
         slots.occupy(new RunningAttempt(request, server, health.observedNanos()));
         health.dispatched(request.attemptId(), server, request.route(), request.idempotent(), nowNanos);
         actions.add(new Dispatch(request.attemptId(), server));
     }
 
     private WaitEstimate estimate(long nowNanos) {
-        return choice.estimate(servers.values(), serviceTimes, nowNanos);
+        return selector.estimate(servers.values(), serviceTimes, nowNanos);
     }
 
     private long expectedWaitNanos(WaitEstimate estimate) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Gathers the actions of one event in order. */
+/** Collects the actions of one event in order. */
 public final class ActionCollector implements HealthCommands {
     private List<GroupAction> actions = new ArrayList<>();
 
@@ -16,11 +16,11 @@
         actions.add(action);
     }
 
-    /** Returns the actions gathered and starts anew. */
-    public List<GroupAction> takeAll() {
-        List<GroupAction> all = actions;
+    /** Removes and returns the collected actions. */
+    public List<GroupAction> removeAll() {
+        List<GroupAction> collected = actions;
         actions = new ArrayList<>();
-        return all;
+        return collected;
     }
 
     @Override
@@ -49,8 +49,8 @@
     }
 
     @Override
-    public void shareServiceTimes(Map<String, Long> usualNanos) {
-        add(new GroupAction.ShareServiceTimes(usualNanos));
+    public void shareServiceTimes(Map<String, Long> typicalNanos) {
+        add(new GroupAction.ShareServiceTimes(typicalNanos));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
@@ -2,43 +2,43 @@
 
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 
-/** Decides at arrival whether a request can be answered in time, the least weighted kinds being refused first. */
+/** Decides at arrival whether a request can be answered in time; requests with the lowest weight are refused first. */
 public final class AdmissionControl {
-    /** The multiple of the mean service time that is kept for the service itself. */
-    static final int SERVICE_MARGIN = 2;
-    /** The share of its time that a request may spend waiting. */
-    static final double WAIT_SHARE = 0.75;
+    /** The multiple of the mean service time that is reserved for the service itself. */
+    static final int SERVICE_MARGIN_FACTOR = 2;
+    /** The share of the time until its deadline that a request may spend in the queue. */
+    static final double MAX_WAIT_SHARE = 0.75;
 
     private final DeadlineQueue queue;
     private final MeanServiceTimes serviceTimes;
-    private final WeightedBacklogLimit weightShares = new WeightedBacklogLimit();
+    private final WeightedBacklogLimit backlogLimit = new WeightedBacklogLimit();
 
-    /** Returns the admission to the given queue. */
+    /** Creates the admission control of the given queue. */
     public AdmissionControl(DeadlineQueue queue, MeanServiceTimes serviceTimes) {
         this.queue = queue;
         this.serviceTimes = serviceTimes;
     }
 
-    /** Returns whether the request can be answered in time, and so may wait. */
+    /** Returns whether the request can be answered in time and is admitted to the queue. */
     public boolean admits(RequestArrived request, WaitEstimate estimate, long nowNanos) {
-        weightShares.recordArrival(request.weight(), request.deadlineNanos() - nowNanos, nowNanos);
+        backlogLimit.recordArrival(request.weight(), request.deadlineNanos() - nowNanos, nowNanos);
         if (estimate.slots() == 0) {
             return false;
         }
-        int place = queue.insertionIndex(request.deadlineNanos());
-        long wait = estimate.waitNanos(queue, place);
-        long own = serviceTimes.meanNanos(request.route());
+        int index = queue.insertionIndex(request.deadlineNanos());
+        long wait = estimate.waitNanos(queue, index);
+        long serviceTime = serviceTimes.meanNanos(request.route());
         long backlog = estimate.waitNanos(queue, queue.size());
-        return (double) backlog <= weightShares.backlogLimitNanos(request.weight())
-                && fits(request, wait, own, nowNanos)
-                && estimate.keepsLaterDeadlines(queue, place, own, nowNanos);
+        return (double) backlog <= backlogLimit.backlogLimitNanos(request.weight())
+                && fitsDeadline(request, wait, serviceTime, nowNanos)
+                && estimate.keepsLaterDeadlines(queue, index, serviceTime, nowNanos);
     }
 
-    private boolean fits(RequestArrived request, long wait, long own, long nowNanos) {
+    private boolean fitsDeadline(RequestArrived request, long wait, long serviceTime, long nowNanos) {
         long slack = request.deadlineNanos() - nowNanos;
         if (wait == 0) {
-            return own <= slack;
+            return serviceTime <= slack;
         }
-        return (double) wait <= WAIT_SHARE * (double) (slack - SERVICE_MARGIN * own);
+        return (double) wait <= MAX_WAIT_SHARE * (double) (slack - SERVICE_MARGIN_FACTOR * serviceTime);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/AttemptEndClassifier.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/AttemptEndClassifier.java
@@ -5,13 +5,13 @@
 import io.coppershelf.health.AttemptEnd;
 import io.coppershelf.outcome.ErrorKind;
 
-/** The table from the end of a try to what it says about its server. */
+/** Classifies the end of an attempt as evidence on its server. */
 public final class AttemptEndClassifier {
     private static final int FIRST_SERVER_ERROR = 500;
 
     private AttemptEndClassifier() {}
 
-    /** Returns what the end of the try says about its server. */
+    /** Returns the class of the attempt's end. */
     public static AttemptEnd classify(AttemptEnded ended) {
         if (ended.error().isPresent()) {
             return ofError(ended.error().get());
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
@@ -7,28 +7,28 @@
 import java.util.function.Predicate;
 
 /**
- * Waiting tries, the earliest deadline first; those of equal deadlines in the order of their arrival.
+ * Queued attempts, the earliest deadline first, and in order of arrival for equal deadlines.
  *
  * @see <a href="https://doi.org/10.1145/321738.321743">Liu and Layland, Scheduling Algorithms for Multiprogramming in a
  *     Hard-Real-Time Environment, 1973</a>
  */
 public final class DeadlineQueue {
-    private final List<QueuedAttempt> tries = new ArrayList<>();
-    private long allWorkNanos;
+    private final List<QueuedAttempt> attempts = new ArrayList<>();
+    private long totalWorkNanos;
 
-    /** Adds a try at its place. */
-    public void add(QueuedAttempt waiting) {
-        tries.add(insertionIndex(waiting.request().deadlineNanos()), waiting);
-        allWorkNanos += waiting.expectedNanos();
+    /** Adds an attempt at the position of its deadline. */
+    public void add(QueuedAttempt attempt) {
+        attempts.add(insertionIndex(attempt.request().deadlineNanos()), attempt);
+        totalWorkNanos += attempt.expectedNanos();
     }
 
-    /** Returns the index at which a try of the given deadline would be added. */
+    /** Returns the index at which an attempt of the given deadline would be added. */
     public int insertionIndex(long deadlineNanos) {
         int low = 0;
-        int high = tries.size();
+        int high = attempts.size();
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (tries.get(middle).request().deadlineNanos() - deadlineNanos <= 0) {
+            if (attempts.get(middle).request().deadlineNanos() - deadlineNanos <= 0) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -37,47 +37,47 @@
         return low;
     }
 
-    /** Removes and returns the first try that the predicate accepts. */
+    /** Removes and returns the first attempt that the predicate accepts. */
     public Optional<QueuedAttempt> removeFirst(Predicate<QueuedAttempt> predicate) {
-        for (int index = 0; index < tries.size(); index++) {
-            if (predicate.test(tries.get(index))) {
-                QueuedAttempt taken = tries.remove(index);
-                allWorkNanos -= taken.expectedNanos();
-                return Optional.of(taken);
+        for (int index = 0; index < attempts.size(); index++) {
+            if (predicate.test(attempts.get(index))) {
+                QueuedAttempt removed = attempts.remove(index);
+                totalWorkNanos -= removed.expectedNanos();
+                return Optional.of(removed);
             }
         }
         return Optional.empty();
     }
 
-    /** Removes and returns the try of the given id. */
+    /** Removes and returns the attempt of the given id. */
     public Optional<QueuedAttempt> remove(String attemptId) {
-        return removeFirst(waiting -> waiting.attemptId().equals(attemptId));
+        return removeFirst(attempt -> attempt.attemptId().equals(attemptId));
     }
 
-    /** Returns the expected service times of the tries before the given place, summed. */
-    public long workNanos(int place) {
-        if (place == tries.size()) {
-            return allWorkNanos;
+    /** Returns the sum of the expected service times of the attempts before the given index. */
+    public long workNanos(int end) {
+        if (end == attempts.size()) {
+            return totalWorkNanos;
         }
         long work = 0;
-        for (int index = 0; index < place; index++) {
-            work += tries.get(index).expectedNanos();
+        for (int index = 0; index < end; index++) {
+            work += attempts.get(index).expectedNanos();
         }
         return work;
     }
 
-    /** Returns the tries in order, as a view. */
+    /** Returns the attempts in order, as a view. */
     public List<QueuedAttempt> attempts() {
-        return Collections.unmodifiableList(tries);
+        return Collections.unmodifiableList(attempts);
     }
 
-    /** Returns whether no try waits. */
+    /** Returns whether no attempt is queued. */
     public boolean isEmpty() {
-        return tries.isEmpty();
+        return attempts.isEmpty();
     }
 
-    /** Returns the number of tries that wait. */
+    /** Returns the number of queued attempts. */
     public int size() {
-        return tries.size();
+        return attempts.size();
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/LeastLoadedSelector.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/LeastLoadedSelector.java
@@ -8,14 +8,14 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 
-/** Chooses the server with the smallest share of its slots taken, among those that may take work now. */
+/** Selects the server with the smallest share of its slots in use, among those that can accept an attempt now. */
 public final class LeastLoadedSelector {
     private final SlotTable slots;
     private final GroupHealth health;
     private final ShedBackoff backoff;
     private final RandomGenerator random;
 
-    /** Returns the choice by the given figures. */
+    /** Creates a selector with the given slots, health and pauses. */
     public LeastLoadedSelector(SlotTable slots, GroupHealth health, ShedBackoff backoff, RandomGenerator random) {
         this.slots = slots;
         this.health = health;
@@ -41,7 +41,7 @@
             Collection<ServerSpec> servers, Predicate<ServerSpec> eligible, long nowNanos) {
         double best = 1.0;
         int ties = 0;
-        Optional<String> choice = Optional.empty();
+        Optional<String> selected = Optional.empty();
         for (ServerSpec server : servers) {
             double load = load(server, nowNanos);
             if (load >= 1.0 || load > best || !eligible.test(server)) {
@@ -49,11 +49,11 @@
             }
             ties = load < best ? 1 : ties + 1;
             if (ties == 1 || random.nextInt(ties) == 0) {
-                choice = Optional.of(server.name());
+                selected = Optional.of(server.name());
             }
             best = load;
         }
-        return choice;
+        return selected;
     }
 
     private double load(ServerSpec server, long nowNanos) {
@@ -64,19 +64,26 @@
         return (double) slots.inFlight(server.name()) / allowed;
     }
 
-    /** Returns whether any server that may take work is not suspected. */
+    /** Returns whether any server that may receive attempts is not suspected. */
     public boolean hasUnsuspected(Collection<ServerSpec> servers, long nowNanos) {
         return servers.stream().anyMatch(server -> !isSuspected(server) && health.allowedSlots(server, nowNanos) > 0);
     }
 
-    /** Returns what works through the queue: the servers in service, or if there is none, the suspected ones. */
+    /**
+     * Returns the estimate for the slots of the servers in service, or of the suspected ones if there is none in
+     * service.
+     */
     public WaitEstimate estimate(Collection<ServerSpec> servers, MeanServiceTimes serviceTimes, long nowNanos) {
-        WaitEstimate good = estimate(servers, server -> !isSuspected(server), serviceTimes, nowNanos);
-        return good.slots() > 0 ? good : estimate(servers, this::isSuspected, serviceTimes, nowNanos);
+        WaitEstimate unsuspected = estimate(servers, server -> !isSuspected(server), serviceTimes, nowNanos);
+        return unsuspected.slots() > 0 ? unsuspected : estimate(servers, this::isSuspected, serviceTimes, nowNanos);
     }
 
-    /** Returns what could work through the queue at most: the servers in service and the suspected ones. */
-    public WaitEstimate largestEstimate(Collection<ServerSpec> servers, MeanServiceTimes serviceTimes, long nowNanos) {
+    /**
+     * Returns the estimate for the slots of all servers that can serve the queue: those in service and the suspected
+     * ones.
+     */
+    public WaitEstimate estimateWithSuspected(
+            Collection<ServerSpec> servers, MeanServiceTimes serviceTimes, long nowNanos) {
         return estimate(servers, server -> true, serviceTimes, nowNanos);
     }
 
@@ -85,7 +92,7 @@
             Predicate<ServerSpec> eligible,
             MeanServiceTimes serviceTimes,
             long nowNanos) {
-        int all = 0;
+        int total = 0;
         int free = 0;
         long residual = 0;
         for (ServerSpec server : servers) {
@@ -93,7 +100,7 @@
             if (allowed == 0) {
                 continue;
             }
-            all += allowed;
+            total += allowed;
             free += backoff.isPaused(server.name(), nowNanos)
                     ? 0
                     : Math.max(0, allowed - slots.inFlight(server.name()));
@@ -102,6 +109,6 @@
                         running.request().route(), health.observedNanos() - running.dispatchedNanos());
             }
         }
-        return new WaitEstimate(all, free, residual);
+        return new WaitEstimate(total, free, residual);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/QueueShedder.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/QueueShedder.java
@@ -6,40 +6,43 @@
 import java.util.PriorityQueue;
 
 /**
- * Finds the waiting tries that are to be given up after slots were lost: where a try would miss its deadline, the one
- * of the least weight for its service time among it and those before it goes.
+ * Selects the queued attempts to drop after slots were lost: for each attempt that would miss its deadline, the one
+ * with the lowest ratio of weight to service time among it and those before it is dropped.
  *
  * @see <a href="https://doi.org/10.1287/mnsc.15.1.102">Moore, An n Job, One Machine Sequencing Algorithm for Minimizing
  *     the Number of Late Jobs, 1968</a>
  */
 public final class QueueShedder {
-    /** How far the estimate must be over the time left, so that its error refuses nothing. */
+    /**
+     * The factor by which the estimated end must exceed the remaining time, so that the error of the estimate alone
+     * drops nothing.
+     */
     private static final double TOLERANCE = 1.1;
 
     private QueueShedder() {}
 
-    /** Returns the tries to be given up. */
+    /** Returns the attempts to drop. */
     public static List<QueuedAttempt> selectAttempts(DeadlineQueue queue, WaitEstimate estimate, long nowNanos) {
-        List<QueuedAttempt> hopeless = new ArrayList<>();
+        List<QueuedAttempt> shed = new ArrayList<>();
         if (estimate.slots() == 0) {
-            return hopeless;
+            return shed;
         }
         PriorityQueue<QueuedAttempt> kept = new PriorityQueue<>(Comparator.comparingDouble(QueueShedder::value));
         long work = estimate.residualNanos();
-        for (QueuedAttempt waiting : queue.attempts()) {
-            long end = work / estimate.slots() + waiting.expectedNanos();
-            kept.add(waiting);
-            work += waiting.expectedNanos();
-            if (end > TOLERANCE * waiting.slackNanos(nowNanos)) {
+        for (QueuedAttempt attempt : queue.attempts()) {
+            long end = work / estimate.slots() + attempt.expectedNanos();
+            kept.add(attempt);
+            work += attempt.expectedNanos();
+            if (end > TOLERANCE * attempt.slackNanos(nowNanos)) {
                 QueuedAttempt dropped = kept.remove();
-                hopeless.add(dropped);
+                shed.add(dropped);
                 work -= dropped.expectedNanos();
             }
         }
-        return hopeless;
+        return shed;
     }
 
-    private static double value(QueuedAttempt waiting) {
-        return (double) waiting.request().weight() / Math.max(1, waiting.expectedNanos());
+    private static double value(QueuedAttempt attempt) {
+        return (double) attempt.request().weight() / Math.max(1, attempt.expectedNanos());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/QueuedAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/QueuedAttempt.java
@@ -3,13 +3,13 @@
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 
 /**
- * A try that waits for a slot.
+ * An attempt that is queued for a slot.
  *
  * @param request the request as it arrived
  * @param expectedNanos its expected service time
  */
 public record QueuedAttempt(RequestArrived request, long expectedNanos) {
-    /** Returns the id of the try. */
+    /** Returns the id of the attempt. */
     public String attemptId() {
         return request.attemptId();
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ShedBackoff.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ShedBackoff.java
@@ -4,30 +4,32 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Leaves a server that refused a try alone for a while, doubled for each refusal without a success between. */
+/**
+ * An exponential backoff for servers that refuse attempts: each refusal without a success in between doubles the pause.
+ */
 public final class ShedBackoff {
-    private static final Duration FIRST = Duration.ofMillis(10);
-    private static final Duration LONGEST = Duration.ofSeconds(1);
+    private static final Duration INITIAL_PAUSE = Duration.ofMillis(10);
+    private static final Duration MAX_PAUSE = Duration.ofSeconds(1);
 
     private final Map<String, Pause> pauses = new HashMap<>();
 
-    /** Takes in that the server refused a try. */
+    /** Records that the server refused an attempt. */
     public void recordRefusal(String server, long nowNanos) {
         Pause last = pauses.get(server);
         if (last != null && nowNanos - last.untilNanos < 0) {
             return;
         }
-        Duration length = last == null || last.length.isZero() ? FIRST : last.length.multipliedBy(2);
-        Duration limited = length.compareTo(LONGEST) > 0 ? LONGEST : length;
+        Duration length = last == null || last.length.isZero() ? INITIAL_PAUSE : last.length.multipliedBy(2);
+        Duration limited = length.compareTo(MAX_PAUSE) > 0 ? MAX_PAUSE : length;
         pauses.put(server, new Pause(limited, nowNanos + limited.toNanos()));
     }
 
-    /** Takes in that the server ran a try: the next pause is short again. */
+    /** Records that the server ran an attempt, which resets the length of the next pause. */
     public void recordSuccess(String server) {
         pauses.computeIfPresent(server, (name, last) -> new Pause(Duration.ZERO, last.untilNanos));
     }
 
-    /** Returns whether the server is to be left alone. */
+    /** Returns whether the server is paused. */
     public boolean isPaused(String server, long nowNanos) {
         Pause last = pauses.get(server);
         return last != null && nowNanos - last.untilNanos < 0;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
@@ -7,43 +7,43 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The exact count of the tries that run on each server. A try holds its slot from dispatch to its end. */
+/** The attempts that run on each server. An attempt occupies its slot from dispatch to its end. */
 public final class SlotTable {
-    private final Map<String, RunningAttempt> byTry = new HashMap<>();
+    private final Map<String, RunningAttempt> byAttempt = new HashMap<>();
     private final Map<String, Map<String, RunningAttempt>> byServer = new HashMap<>();
 
     /**
-     * Takes a slot of the try's server.
+     * Occupies a slot of the attempt's server.
      *
-     * @throws IllegalStateException if the try holds a slot already
+     * @throws IllegalStateException if the attempt occupies a slot already
      */
     public void occupy(RunningAttempt running) {
-        if (byTry.putIfAbsent(running.attemptId(), running) != null) {
-            throw new IllegalStateException("try \"" + running.attemptId() + "\" holds a slot already");
+        if (byAttempt.putIfAbsent(running.attemptId(), running) != null) {
+            throw new IllegalStateException("attempt \"" + running.attemptId() + "\" occupies a slot already");
         }
         byServer.computeIfAbsent(running.server(), server -> new LinkedHashMap<>())
                 .put(running.attemptId(), running);
     }
 
-    /** Frees the slot of the try; returns the try, empty if it holds none. */
+    /** Releases the slot of the attempt; returns the attempt, empty if it occupies none. */
     public Optional<RunningAttempt> release(String attemptId) {
-        Optional<RunningAttempt> running = Optional.ofNullable(byTry.remove(attemptId));
+        Optional<RunningAttempt> running = Optional.ofNullable(byAttempt.remove(attemptId));
         running.ifPresent(ended -> byServer.get(ended.server()).remove(attemptId));
         return running;
     }
 
-    /** Returns the try if it runs. */
+    /** Returns the attempt if it occupies a slot. */
     public Optional<RunningAttempt> find(String attemptId) {
-        return Optional.ofNullable(byTry.get(attemptId));
+        return Optional.ofNullable(byAttempt.get(attemptId));
     }
 
-    /** Returns the tries that run on the server, the oldest first. */
+    /** Returns the attempts that run on the server, the oldest first. */
     public Collection<RunningAttempt> running(String server) {
         return Collections.unmodifiableCollection(
                 byServer.getOrDefault(server, Map.of()).values());
     }
 
-    /** Returns the number of tries that run on the server. */
+    /** Returns the number of attempts that run on the server. */
     public int inFlight(String server) {
         return byServer.getOrDefault(server, Map.of()).size();
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitEstimate.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitEstimate.java
@@ -3,34 +3,41 @@
 import java.util.List;
 
 /**
- * How long a try would wait, from the measured service times of what runs and of what waits before it.
+ * Estimates how long an attempt would wait, from the mean service times of the attempts that run and of those queued
+ * before it.
  *
- * @param slots the slots that work through the queue
+ * @param slots the slots that serve the queue
  * @param free the free ones among them
- * @param residualNanos the expected work left in those that are taken, summed
+ * @param residualNanos the sum of the expected remaining times of the attempts that run
  */
 public record WaitEstimate(int slots, int free, long residualNanos) {
-    /** The share of its time that a waiting try may be pushed back to. */
-    private static final double ROOM_SHARE = 0.85;
+    /**
+     * The share of its time until the deadline within which a queued attempt must still be served when another one is
+     * added before it.
+     */
+    private static final double MAX_DEADLINE_SHARE = 0.85;
 
-    /** Returns the expected wait at the given place in the queue. */
-    public long waitNanos(DeadlineQueue queue, int place) {
-        if (slots == 0 || place < free) {
+    /** Returns the expected wait at the given index of the queue. */
+    public long waitNanos(DeadlineQueue queue, int index) {
+        if (slots == 0 || index < free) {
             return 0;
         }
-        return (residualNanos + queue.workNanos(place)) / slots;
+        return (residualNanos + queue.workNanos(index)) / slots;
     }
 
-    /** Returns whether a try of the given service time can go to the place without making a later one miss its time. */
-    public boolean keepsLaterDeadlines(DeadlineQueue queue, int place, long addedNanos, long nowNanos) {
-        if (slots == 0 || place < free) {
+    /**
+     * Returns whether an attempt of the given service time can be added at the index without making a later one miss
+     * its deadline.
+     */
+    public boolean keepsLaterDeadlines(DeadlineQueue queue, int index, long addedNanos, long nowNanos) {
+        if (slots == 0 || index < free) {
             return true;
         }
-        long ahead = residualNanos + addedNanos + queue.workNanos(place);
-        List<QueuedAttempt> tries = queue.attempts();
-        for (QueuedAttempt later : tries.subList(place, tries.size())) {
-            if ((double) (ahead / slots + AdmissionControl.SERVICE_MARGIN * later.expectedNanos())
-                    > ROOM_SHARE * (double) later.slackNanos(nowNanos)) {
+        long ahead = residualNanos + addedNanos + queue.workNanos(index);
+        List<QueuedAttempt> attempts = queue.attempts();
+        for (QueuedAttempt later : attempts.subList(index, attempts.size())) {
+            if ((double) (ahead / slots + AdmissionControl.SERVICE_MARGIN_FACTOR * later.expectedNanos())
+                    > MAX_DEADLINE_SHARE * (double) later.slackNanos(nowNanos)) {
                 return false;
             }
             ahead += later.expectedNanos();
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WindowedMaximum.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WindowedMaximum.java
@@ -2,27 +2,27 @@
 
 import java.time.Duration;
 
-/** The largest value seen in the present and the last window of time. */
+/** The largest value recorded in the current and the previous time window. */
 final class WindowedMaximum {
     private final long windowNanos;
-    private long largest;
-    private long largestBefore;
-    private long startedNanos;
+    private long currentMaximum;
+    private long previousMaximum;
+    private long windowStartNanos;
 
     WindowedMaximum(Duration window) {
         this.windowNanos = window.toNanos();
     }
 
     void record(long value, long nowNanos) {
-        if (nowNanos - startedNanos >= windowNanos) {
-            largestBefore = largest;
-            largest = 0;
-            startedNanos = nowNanos;
+        if (nowNanos - windowStartNanos >= windowNanos) {
+            previousMaximum = currentMaximum;
+            currentMaximum = 0;
+            windowStartNanos = nowNanos;
         }
-        largest = Math.max(largest, value);
+        currentMaximum = Math.max(currentMaximum, value);
     }
 
     long value() {
-        return Math.max(largest, largestBefore);
+        return Math.max(currentMaximum, previousMaximum);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/package-info.java
@@ -1,2 +1,2 @@
-/** The parts of a server group: its slots, its queue and its estimates. */
+/** The components of a server group: slots, queue and estimates of service times and waits. */
 package io.coppershelf.admission.internal;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
@@ -22,24 +22,24 @@
 import java.util.Random;
 import java.util.concurrent.locks.LockSupport;
 
-/** Puts the pieces of the part together. */
+/** Creates and connects the objects of the admission component. */
 public final class Admission implements AttemptSender {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(25);
     private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(10);
 
-    private volatile AttemptSender owners;
+    private volatile AttemptSender sender;
     private volatile LocalGroups groups;
 
-    /** Looks up the services of other parts and begins work. */
+    /** Looks up the services of other components and starts serving. */
     public void start(ComponentRegistry registry) {
         BackendClient backend = registry.require(BackendClient.NAME);
         TimeSource time = registry.require(TimeSource.NAME);
         FleetView.Source fleet = registry.require(FleetView.Source.NAME);
         Configuration.Source configuration = registry.require(Configuration.Source.NAME);
         PeerExchange peers = registry.require(PeerExchange.NAME);
-        HealthEvidenceExchange healthPeers = new HealthEvidenceExchange(peers, fleet, configuration, backend);
-        EjectionGrants rights = registry.require(EjectionGrants.NAME);
+        HealthEvidenceExchange evidenceExchange = new HealthEvidenceExchange(peers, fleet, configuration, backend);
+        EjectionGrants grants = registry.require(EjectionGrants.NAME);
         Timeline timeline = registry.require(Timeline.NAME);
 
         groups = new LocalGroups(
@@ -50,9 +50,10 @@
                         decisions(name, time),
                         backend,
                         time,
-                        runtime -> new GroupHealthActionExecutor(runtime, backend, healthPeers, rights, timeline)));
-        owners = new PeerAttemptSender(registry.require(Settings.NAME).vm(), groups, peers, time);
-        healthPeers.register(groups);
+                        runtime ->
+                                new GroupHealthActionExecutor(runtime, backend, evidenceExchange, grants, timeline)));
+        sender = new PeerAttemptSender(registry.require(Settings.NAME).vm(), groups, peers, time);
+        evidenceExchange.register(groups);
         new ForwardServer(groups).register(peers, time);
         registry.require(OperatorRegistry.NAME).addStatus(new AdmissionStatus(groups));
         drive(registry.require(ControlThread.NAME), configuration, fleet);
@@ -71,16 +72,16 @@
 
     @Override
     public AttemptSender.AttemptExchange send(Vm owner, AttemptRequest request) {
-        return owners.send(owner, request);
+        return sender.send(owner, request);
     }
 
-    /** Refuses new tries and waits until those under way have ended. */
+    /** Refuses new attempts and waits until those in flight have ended. */
     public void stop(Duration limit) {
         groups.beginStop();
         long end = System.nanoTime() + limit.toNanos();
         while (groups.inFlight() > 0 && System.nanoTime() < end) {
             LockSupport.parkNanos(STOP_POLL_INTERVAL.toNanos());
         }
-        logger.atInfo().log("[admission] Stopped with %s tries under way.", groups.inFlight());
+        logger.atInfo().log("[admission] Stopped with %s attempts in flight.", groups.inFlight());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/AdmissionStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/AdmissionStatus.java
@@ -6,7 +6,7 @@
 import io.coppershelf.admission.GroupStatus.ServerStatus;
 import io.coppershelf.operator.StatusContributor;
 
-/** Shows the server groups that this VM serves. */
+/** Adds the server groups that this VM serves to the status page. */
 final class AdmissionStatus implements StatusContributor {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardCancel.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardCancel.java
@@ -3,8 +3,8 @@
 import io.coppershelf.peer.PeerMessage;
 
 /**
- * The sender of a forwarded try gave it up; the reply to the try itself tells what became of it.
+ * The sender of a forwarded attempt cancelled it; the reply to the attempt itself carries its result.
  *
- * @param attemptId the try
+ * @param attemptId the attempt
  */
 record ForwardCancel(String attemptId) implements PeerMessage {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReply.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReply.java
@@ -4,9 +4,9 @@
 import io.coppershelf.peer.PeerMessage;
 
 /**
- * What became of a forwarded try.
+ * The result of a forwarded attempt.
  *
- * @param attemptId the try
- * @param result how it ended
+ * @param attemptId the attempt
+ * @param result its result
  */
 record ForwardReply(String attemptId, AttemptResult result) implements PeerMessage {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
@@ -10,10 +10,10 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Reads and writes {@link ForwardRequest}; reading turns the time left into a deadline of this VM. */
+/** Reads and writes {@link ForwardRequest}; reading converts the remaining time to a deadline of this VM. */
 final class ForwardRequestCodec implements PeerMessageCodec<ForwardRequest> {
     private static final int TYPE_ID = 40;
-    private static final Duration LONGEST_REMAINING = Duration.ofDays(1);
+    private static final Duration MAX_REMAINING = Duration.ofDays(1);
 
     private final TimeSource time;
 
@@ -83,9 +83,8 @@
 
     private static long readRemaining(MessageUnpacker unpacker) throws IOException {
         long remainingMillis = unpacker.unpackLong();
-        if (remainingMillis < 1 || remainingMillis > LONGEST_REMAINING.toMillis()) {
-            throw new IOException(
-                    "expected 1 to " + LONGEST_REMAINING.toMillis() + " ms left but got " + remainingMillis);
+        if (remainingMillis < 1 || remainingMillis > MAX_REMAINING.toMillis()) {
+            throw new IOException("expected 1 to " + MAX_REMAINING.toMillis() + " ms left but got " + remainingMillis);
         }
         return remainingMillis;
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** Serves tries that other VMs forward to this one. */
+/** Serves attempts that other VMs forward to this one. */
 final class ForwardServer {
     private final LocalGroups groups;
-    private final ConcurrentMap<ForwardKey, AttemptExchange> underWay = new ConcurrentHashMap<>();
+    private final ConcurrentMap<ForwardKey, AttemptExchange> inFlight = new ConcurrentHashMap<>();
 
     ForwardServer(LocalGroups groups) {
         this.groups = groups;
@@ -25,20 +25,20 @@
     private void serve(String sender, ForwardRequest message, PeerExchange.Replies replies) {
         ForwardKey key = new ForwardKey(sender, message.request().attemptId());
         AttemptExchange exchange = groups.submit(message.request());
-        underWay.put(key, exchange);
+        inFlight.put(key, exchange);
         var unused = exchange.result().thenAccept(result -> {
-            underWay.remove(key, exchange);
+            inFlight.remove(key, exchange);
             replies.reply(new ForwardReply(message.request().attemptId(), result));
         });
     }
 
     private void cancel(String sender, ForwardCancel message) {
-        AttemptExchange exchange = underWay.get(new ForwardKey(sender, message.attemptId()));
+        AttemptExchange exchange = inFlight.get(new ForwardKey(sender, message.attemptId()));
         if (exchange != null) {
             exchange.cancel();
         }
     }
 
-    /** A sender may cancel its own tries only. */
+    /** Identifies an attempt by its sender, as a VM may cancel only its own attempts. */
     private record ForwardKey(String sender, String attemptId) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedAttempt.java
@@ -11,9 +11,9 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** A try that was forwarded to its owner on another VM. */
+/** An attempt that was forwarded to the owner of its group on another VM. */
 final class ForwardedAttempt implements AttemptExchange {
-    /** How long after the deadline the owner may still tell what became of the try. */
+    /** How long after the deadline the reply of the owner is still accepted. */
     private static final Duration REPLY_MARGIN = Duration.ofMillis(500);
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -31,7 +31,7 @@
         this.result = result;
     }
 
-    /** Forwards the try, unless its deadline is past. */
+    /** Forwards the attempt, unless its deadline has passed. */
     static ForwardedAttempt send(PeerExchange peers, TimeSource time, Vm owner, AttemptRequest request) {
         long remainingMillis = (request.deadlineNanos() - time.nanos()) / NANOS_PER_MILLI;
         if (remainingMillis < 1) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActionExecutor.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActionExecutor.java
@@ -10,7 +10,7 @@
 import io.coppershelf.operator.Timeline;
 import java.time.Duration;
 
-/** Carries out what one group wants: rights to eject, probes, evidence of other VMs, and the time line. */
+/** Performs the health actions of one group: ejection grants, probes, evidence of other VMs and the time line. */
 final class GroupHealthActionExecutor implements HealthActionExecutor, EjectionGrants.Listener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(300);
@@ -18,41 +18,41 @@
     private final GroupRuntime group;
     private final GroupName name;
     private final BackendClient backend;
-    private final HealthEvidenceExchange peers;
-    private final EjectionGrants rights;
+    private final HealthEvidenceExchange evidenceExchange;
+    private final EjectionGrants grants;
     private final Timeline timeline;
 
     GroupHealthActionExecutor(
             GroupRuntime group,
             BackendClient backend,
-            HealthEvidenceExchange peers,
-            EjectionGrants rights,
+            HealthEvidenceExchange evidenceExchange,
+            EjectionGrants grants,
             Timeline timeline) {
         this.group = group;
         this.name = group.name();
         this.backend = backend;
-        this.peers = peers;
-        this.rights = rights;
+        this.evidenceExchange = evidenceExchange;
+        this.grants = grants;
         this.timeline = timeline;
     }
 
     @Override
     public void perform(GroupAction action) {
-        if (action instanceof GroupAction.RequestEjection ask) {
-            rights.request(name.service(), ask.server(), this);
+        if (action instanceof GroupAction.RequestEjection request) {
+            grants.request(name.service(), request.server(), this);
         } else if (action instanceof GroupAction.ReleaseEjection release) {
-            rights.release(name.service(), release.server());
+            grants.release(name.service(), release.server());
         } else if (action instanceof GroupAction.Probe probe) {
             probe(probe.server());
-        } else if (action instanceof GroupAction.QueryReachability ask) {
-            peers.queryReachability(
+        } else if (action instanceof GroupAction.QueryReachability query) {
+            evidenceExchange.queryReachability(
                     name,
-                    ask.server(),
-                    reachable -> group.on(new GroupEvent.ReachabilityReported(ask.server(), reachable)));
+                    query.server(),
+                    reachable -> group.on(new GroupEvent.ReachabilityReported(query.server(), reachable)));
         } else if (action instanceof GroupAction.ShareServiceTimes share) {
-            peers.shareServiceTimes(name, share.typicalNanos());
+            evidenceExchange.shareServiceTimes(name, share.typicalNanos());
         } else if (action instanceof GroupAction.ConditionChanged change) {
-            tell(change);
+            recordChange(change);
         }
     }
 
@@ -63,9 +63,9 @@
         });
     }
 
-    private void tell(GroupAction.ConditionChanged change) {
-        if (isOut(change.from()) != isOut(change.to())) {
-            rights.reportOutOfService(name.service(), change.server(), isOut(change.to()));
+    private void recordChange(GroupAction.ConditionChanged change) {
+        if (isOutOfService(change.from()) != isOutOfService(change.to())) {
+            grants.reportOutOfService(name.service(), change.server(), isOutOfService(change.to()));
         }
         logger.atInfo().log("[admission] Server %s is %s: %s.", change.server(), change.to(), change.reason());
         String text = change.from() + " to " + change.to() + ": " + change.reason();
@@ -74,7 +74,7 @@
     }
 
     /** Returns whether the server is out of service for another reason than an ejection. */
-    private static boolean isOut(ServerCondition condition) {
+    private static boolean isOutOfService(ServerCondition condition) {
         return condition == ServerCondition.DRAINING || condition == ServerCondition.COLD;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
@@ -26,7 +26,9 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** One server group on a VM that serves it: drives its decisions and carries out what they want. */
+/**
+ * One server group on a VM that serves it: passes events to its decisions and performs the actions that they return.
+ */
 final class GroupRuntime {
     private static final Duration CANCEL_LIMIT = Duration.ofMillis(100);
 
@@ -35,7 +37,7 @@
     private final BackendClient backend;
     private final TimeSource time;
     private final HealthActionExecutor healthActions;
-    private final ConcurrentMap<String, PendingAttempt> tries = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, PendingAttempt> attempts = new ConcurrentHashMap<>();
     private volatile Map<String, ServerSpec> servers = Map.of();
 
     GroupRuntime(
@@ -55,7 +57,7 @@
         return name;
     }
 
-    /** Takes in the service and the servers of the group. */
+    /** Applies the service and the servers of the group. */
     void configure(ServiceSpec service, List<ServerSpec> specs) {
         servers = specs.stream().collect(Collectors.toUnmodifiableMap(ServerSpec::name, Function.identity()));
         on(new GroupEvent.Configured(service, specs));
@@ -65,9 +67,9 @@
         return Optional.ofNullable(servers.get(server));
     }
 
-    /** Returns the number of tries that have not ended. */
+    /** Returns the number of attempts that have not ended. */
     int inFlight() {
-        return tries.size();
+        return attempts.size();
     }
 
     GroupStatus status() {
@@ -76,10 +78,10 @@
         }
     }
 
-    /** Takes a try in; a try id that is under way already is not run a second time. */
+    /** Accepts an attempt; an attempt whose id is already in flight is not run a second time. */
     AttemptExchange submit(AttemptRequest request) {
         PendingAttempt pending = new PendingAttempt(request, this::cancel);
-        if (tries.putIfAbsent(request.attemptId(), pending) != null) {
+        if (attempts.putIfAbsent(request.attemptId(), pending) != null) {
             pending.end(AttemptResult.failed(ErrorKind.OWNER_LOST));
             return pending;
         }
@@ -95,10 +97,10 @@
 
     private void cancel(PendingAttempt pending) {
         on(new GroupEvent.RequestCancelled(pending.request().attemptId()));
-        endIfWaiting(pending, AttemptResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
+        endIfQueued(pending, AttemptResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
     }
 
-    /** Feeds one event to the decisions and carries out what they want. */
+    /** Passes one event to the decisions and performs the actions that they return. */
     void on(GroupEvent event) {
         List<GroupAction> actions;
         synchronized (decisions) {
@@ -115,7 +117,7 @@
         if (action instanceof GroupAction.Refuse refuse) {
             pending(refuse.attemptId())
                     .ifPresent(pending ->
-                            endIfWaiting(pending, AttemptResult.refused(refuse.error(), refuse.retryAfter())));
+                            endIfQueued(pending, AttemptResult.refused(refuse.error(), refuse.retryAfter())));
             return;
         }
         if (action instanceof GroupAction.CancelOnServer cancel) {
@@ -126,7 +128,7 @@
     }
 
     private Optional<PendingAttempt> pending(String attemptId) {
-        return Optional.ofNullable(tries.get(attemptId));
+        return Optional.ofNullable(attempts.get(attemptId));
     }
 
     private void dispatch(GroupAction.Dispatch dispatch) {
@@ -166,7 +168,7 @@
     }
 
     private void ended(String attemptId, BackendResult result) {
-        PendingAttempt pending = tries.remove(attemptId);
+        PendingAttempt pending = attempts.remove(attemptId);
         on(new GroupEvent.AttemptEnded(
                 attemptId, result.answer().map(BackendResult.Answer::status), result.error(), result.serverState()));
         if (pending != null) {
@@ -174,9 +176,9 @@
         }
     }
 
-    private void endIfWaiting(PendingAttempt pending, AttemptResult outcome) {
-        if (pending.endIfWaiting(outcome.withLoad(load()))) {
-            tries.remove(pending.request().attemptId());
+    private void endIfQueued(PendingAttempt pending, AttemptResult attemptResult) {
+        if (pending.endIfQueued(attemptResult.withLoad(load()))) {
+            attempts.remove(pending.request().attemptId());
         }
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthActionExecutor.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthActionExecutor.java
@@ -2,8 +2,8 @@
 
 import io.coppershelf.admission.GroupAction;
 
-/** Carries out what a group's decisions want for the health of its servers. */
+/** Performs the actions of a group that concern the health of its servers. */
 interface HealthActionExecutor {
-    /** Carries out the action. */
+    /** Performs the action. */
     void perform(GroupAction action);
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthEvidenceExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthEvidenceExchange.java
@@ -15,12 +15,12 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Exchanges evidence on the health of backend servers with other VMs. */
+/** Exchanges evidence on the health of backend servers with other VMs: typical service times and reachability. */
 final class HealthEvidenceExchange {
-    /** The VMs that are asked whether they can reach a server. */
-    private static final int WITNESSES = 2;
+    /** The number of VMs that are queried whether they can reach a server. */
+    private static final int MAX_WITNESSES = 2;
 
-    /** The VMs among which those of other data centres are sought. */
+    /** The number of VMs among which those of other data centres are selected. */
     private static final int WITNESS_CANDIDATES = 16;
 
     private static final Duration WITNESS_TIMEOUT = Duration.ofMillis(500);
@@ -39,14 +39,14 @@
         this.backend = backend;
     }
 
-    /** Registers the messages; what is heard goes to the groups. */
+    /** Registers the messages; received evidence is passed to the groups. */
     void register(LocalGroups groups) {
         peers.register(new ReachabilityReplyCodec());
-        peers.register(new ReachabilityQueryCodec(), (sender, query, replies) -> answer(query, replies));
-        peers.register(new ServiceTimesMessageCodec(), (sender, baseline, replies) -> hear(sender, baseline, groups));
+        peers.register(new ReachabilityQueryCodec(), (sender, query, replies) -> reply(query, replies));
+        peers.register(new ServiceTimesMessageCodec(), (sender, message, replies) -> receive(sender, message, groups));
     }
 
-    private void answer(ReachabilityQuery query, PeerExchange.Replies replies) {
+    private void reply(ReachabilityQuery query, PeerExchange.Replies replies) {
         Optional<ServerSpec> server = configuration.current().server(query.server());
         if (server.isEmpty()) {
             replies.reply(new ReachabilityReply(query.server(), false));
@@ -56,35 +56,35 @@
                 .thenAccept(state -> replies.reply(new ReachabilityReply(query.server(), state.isPresent())));
     }
 
-    private static void hear(String sender, ServiceTimesMessage baseline, LocalGroups groups) {
+    private static void receive(String sender, ServiceTimesMessage message, LocalGroups groups) {
         groups.all().stream()
-                .filter(runtime -> runtime.name().service().equals(baseline.service()))
-                .forEach(runtime -> runtime.on(new GroupEvent.ServiceTimesReceived(sender, baseline.usualNanos())));
+                .filter(runtime -> runtime.name().service().equals(message.service()))
+                .forEach(runtime -> runtime.on(new GroupEvent.ServiceTimesReceived(sender, message.typicalNanos())));
     }
 
-    /** Asks VMs of other data centres whether they can reach the server; the listener hears those that reply. */
+    /** Queries VMs of other data centres whether they can reach the server; the listener is called for each reply. */
     void queryReachability(GroupName group, String server, Consumer<Boolean> listener) {
         FleetView view = fleet.current();
         view.ranked("witness/" + server, "", WITNESS_CANDIDATES).stream()
                 .filter(vm -> !vm.id().equals(view.self().id()))
                 .filter(vm -> !vm.dataCentre().equals(group.dataCentre()))
-                .limit(WITNESSES)
-                .forEach(vm -> ask(vm, server, listener));
+                .limit(MAX_WITNESSES)
+                .forEach(vm -> query(vm, server, listener));
     }
 
-    private void ask(Vm witness, String server, Consumer<Boolean> listener) {
+    private void query(Vm witness, String server, Consumer<Boolean> listener) {
         var unused = peers.request(witness, new ReachabilityQuery(server), WITNESS_TIMEOUT)
                 .thenAccept(reply -> {
                     if (reply instanceof PeerReply.Received received
-                            && received.message() instanceof ReachabilityReply heard
-                            && heard.server().equals(server)) {
-                        listener.accept(heard.reachable());
+                            && received.message() instanceof ReachabilityReply reachability
+                            && reachability.server().equals(server)) {
+                        listener.accept(reachability.reachable());
                     }
                 });
     }
 
-    /** Tells the owners of the other groups of the service the usual service times. */
-    void shareServiceTimes(GroupName group, Map<String, Long> usualNanos) {
+    /** Sends the typical service times to the owners of the other groups of the service. */
+    void shareServiceTimes(GroupName group, Map<String, Long> typicalNanos) {
         FleetView view = fleet.current();
         List<Vm> owners = configuration.current().servers(group.service()).stream()
                 .map(ServerSpec::dataCentre)
@@ -95,6 +95,6 @@
                 .distinct()
                 .filter(vm -> !vm.id().equals(view.self().id()))
                 .toList();
-        owners.forEach(vm -> peers.send(vm, new ServiceTimesMessage(group.service(), usualNanos)));
+        owners.forEach(vm -> peers.send(vm, new ServiceTimesMessage(group.service(), typicalNanos)));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
@@ -21,33 +21,37 @@
 import java.util.stream.Collectors;
 
 /**
- * The server groups that this VM may serve, made when they are first needed and dropped when they are another VM's and
- * nothing is under way. Safe for use by several threads.
+ * The server groups that this VM serves. A group is created when it is first needed, and removed when this VM may no
+ * longer serve it and no attempt is in flight. Safe for use by several threads.
  */
 final class LocalGroups {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    /** Up to this many services their groups are opened before the first request; ranking more would cost too much. */
-    private static final int MOST_SERVICES_TO_OPEN = 100;
+    /**
+     * With at most this many services, their groups are created before the first request; ranking the owners of more
+     * would cost too much.
+     */
+    private static final int MAX_PRECREATED_SERVICES = 100;
 
     private final Configuration.Source configuration;
-    private final OwnerLookup owners;
+    private final OwnerLookup ownerLookup;
     private final Function<GroupName, GroupRuntime> factory;
     private final ConcurrentMap<GroupName, GroupRuntime> groups = new ConcurrentHashMap<>();
     private volatile boolean isStopping;
 
-    LocalGroups(Configuration.Source configuration, OwnerLookup owners, Function<GroupName, GroupRuntime> factory) {
+    LocalGroups(
+            Configuration.Source configuration, OwnerLookup ownerLookup, Function<GroupName, GroupRuntime> factory) {
         this.configuration = configuration;
-        this.owners = owners;
+        this.ownerLookup = ownerLookup;
         this.factory = factory;
     }
 
-    /** Takes a try in, or refuses it as not run if this VM may not serve its group. */
+    /** Accepts an attempt, or refuses it as not run if this VM may not serve its group. */
     AttemptExchange submit(AttemptRequest request) {
         if (isStopping) {
             return refused(ErrorKind.STOPPING);
         }
-        if (!owners.isServedHere(request.group())) {
+        if (!ownerLookup.isServedHere(request.group())) {
             return refused(ErrorKind.OWNER_UNREACHABLE);
         }
         return group(request.group())
@@ -59,11 +63,11 @@
         return new EndedAttempt(CompletableFuture.completedFuture(AttemptResult.failed(error)));
     }
 
-    /** Returns the group, made if needed; empty if the configuration has no server for it. */
+    /** Returns the group, created if needed; empty if the configuration has no server for it. */
     Optional<GroupRuntime> group(GroupName name) {
-        GroupRuntime present = groups.get(name);
-        if (present != null) {
-            return Optional.of(present);
+        GroupRuntime existing = groups.get(name);
+        if (existing != null) {
+            return Optional.of(existing);
         }
         Optional<ServiceSpec> service = configuration.current().service(name.service());
         List<ServerSpec> servers = servers(name);
@@ -87,36 +91,36 @@
                 .toList();
     }
 
-    /** Takes in a change of the configuration or of the fleet; called on the control thread. */
+    /** Applies a change of the configuration or of the fleet; called on the control thread. */
     void refresh() {
         groups.values().forEach(this::refresh);
         List<ServiceSpec> services = configuration.current().services();
-        if (services.size() <= MOST_SERVICES_TO_OPEN) {
-            services.forEach(service -> openOwned(service.name()));
+        if (services.size() <= MAX_PRECREATED_SERVICES) {
+            services.forEach(service -> createServed(service.name()));
         }
     }
 
     private void refresh(GroupRuntime runtime) {
         Optional<ServiceSpec> service =
                 configuration.current().service(runtime.name().service());
-        boolean isWanted = service.isPresent() && owners.isServedHere(runtime.name());
-        if (!isWanted && runtime.inFlight() == 0) {
+        boolean isServed = service.isPresent() && ownerLookup.isServedHere(runtime.name());
+        if (!isServed && runtime.inFlight() == 0) {
             groups.remove(runtime.name());
             return;
         }
         service.ifPresent(spec -> runtime.configure(spec, servers(runtime.name())));
     }
 
-    private void openOwned(String service) {
+    private void createServed(String service) {
         Map<String, Long> dataCentres = configuration.current().servers(service).stream()
                 .collect(Collectors.groupingBy(ServerSpec::dataCentre, Collectors.counting()));
         dataCentres.keySet().stream()
                 .map(dataCentre -> new GroupName(service, dataCentre))
-                .filter(owners::isServedHere)
+                .filter(ownerLookup::isServedHere)
                 .forEach(this::group);
     }
 
-    /** Lets time pass in all groups. */
+    /** Sends a tick to all groups. */
     void tick() {
         groups.values().forEach(runtime -> runtime.on(new GroupEvent.Tick()));
     }
@@ -126,17 +130,17 @@
         return List.copyOf(groups.values());
     }
 
-    /** Refuses new tries from now on. */
+    /** Refuses new attempts from now on. */
     void beginStop() {
         isStopping = true;
     }
 
-    /** Returns the number of tries that have not ended. */
+    /** Returns the number of attempts that have not ended. */
     int inFlight() {
         return groups.values().stream().mapToInt(GroupRuntime::inFlight).sum();
     }
 
-    /** A try that ended at once. */
+    /** An attempt that has already ended. */
     private record EndedAttempt(CompletableFuture<AttemptResult> result) implements AttemptExchange {
         @Override
         public void cancel() {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PeerAttemptSender.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PeerAttemptSender.java
@@ -6,7 +6,7 @@
 import io.coppershelf.membership.Vm;
 import io.coppershelf.peer.PeerExchange;
 
-/** Hands tries to this VM's own groups or forwards them to their owners. */
+/** Submits attempts to this VM's own groups or forwards them to their owners. */
 final class PeerAttemptSender implements AttemptSender {
     private final String self;
     private final LocalGroups groups;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PendingAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PendingAttempt.java
@@ -11,14 +11,14 @@
 import java.util.function.Supplier;
 
 /**
- * A try at its owner: first waiting, then sent to a backend server, then ended. It is sent at most once, and never
- * after it ended.
+ * An attempt at the owner of its group: queued, then sent to a backend server, then ended. It is sent at most once, and
+ * never after it ended.
  */
 final class PendingAttempt implements AttemptExchange {
     private final AttemptRequest request;
     private final Consumer<PendingAttempt> onCancel;
     private final CompletableFuture<AttemptResult> result = new CompletableFuture<>();
-    private boolean isWaiting = true;
+    private boolean isQueued = true;
     private Optional<Exchange> exchange = Optional.empty();
     private Optional<Duration> cancelLimit = Optional.empty();
 
@@ -41,13 +41,13 @@
         onCancel.accept(this);
     }
 
-    /** Sends the try unless it ended or was sent before; returns whether it was sent now. */
+    /** Sends the attempt unless it has ended or was sent before; returns whether it was sent by this call. */
     boolean send(Supplier<Exchange> sender) {
         synchronized (this) {
-            if (!isWaiting) {
+            if (!isQueued) {
                 return false;
             }
-            isWaiting = false;
+            isQueued = false;
         }
         Exchange sent = sender.get();
         Optional<Duration> limit;
@@ -59,7 +59,7 @@
         return true;
     }
 
-    /** Cancels the try on its server, now or as soon as it is sent. */
+    /** Cancels the attempt on its server, now or as soon as it is sent. */
     void cancelOnServer(Duration limit) {
         Optional<Exchange> sent;
         synchronized (this) {
@@ -69,19 +69,19 @@
         sent.ifPresent(present -> present.cancel(limit));
     }
 
-    /** Ends the try if it still waits; returns whether it did. */
-    boolean endIfWaiting(AttemptResult outcome) {
+    /** Ends the attempt if it is still queued; returns whether it was. */
+    boolean endIfQueued(AttemptResult attemptResult) {
         synchronized (this) {
-            if (!isWaiting) {
+            if (!isQueued) {
                 return false;
             }
-            isWaiting = false;
+            isQueued = false;
         }
-        return result.complete(outcome);
+        return result.complete(attemptResult);
     }
 
-    /** Ends the try after it was sent. */
-    void end(AttemptResult outcome) {
-        result.complete(outcome);
+    /** Ends the attempt after it was sent. */
+    void end(AttemptResult attemptResult) {
+        result.complete(attemptResult);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ReachabilityQuery.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ReachabilityQuery.java
@@ -3,7 +3,7 @@
 import io.coppershelf.peer.PeerMessage;
 
 /**
- * Asks a VM whether it can reach a backend server.
+ * Queries a VM whether it can reach a backend server.
  *
  * @param server the name of the server
  */
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ReachabilityReply.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ReachabilityReply.java
@@ -3,7 +3,7 @@
 import io.coppershelf.peer.PeerMessage;
 
 /**
- * Tells whether a VM could reach a backend server.
+ * Reports whether a VM can reach a backend server.
  *
  * @param server the name of the server
  * @param reachable whether the server answered a probe
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ServiceTimesMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ServiceTimesMessage.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * The usual service times that the owner of one group of a service sees, for the owners of its other groups.
+ * The typical service times that the owner of one group of a service measured, for the owners of its other groups.
  *
  * @param service the service
- * @param usualNanos the usual service time in nanoseconds by route
+ * @param typicalNanos the typical service time in nanoseconds by route
  */
-record ServiceTimesMessage(String service, Map<String, Long> usualNanos) implements PeerMessage {
+record ServiceTimesMessage(String service, Map<String, Long> typicalNanos) implements PeerMessage {
     ServiceTimesMessage {
-        usualNanos = Map.copyOf(usualNanos);
+        typicalNanos = Map.copyOf(typicalNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ServiceTimesMessageCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ServiceTimesMessageCodec.java
@@ -10,7 +10,7 @@
 /** Reads and writes {@link ServiceTimesMessage}. */
 final class ServiceTimesMessageCodec implements PeerMessageCodec<ServiceTimesMessage> {
     private static final int TYPE_ID = 60;
-    private static final int MOST_ROUTES = 1_000;
+    private static final int MAX_ROUTES = 1_000;
 
     @Override
     public int typeId() {
@@ -25,8 +25,8 @@
     @Override
     public void write(ServiceTimesMessage message, MessagePacker packer) throws IOException {
         packer.packString(message.service());
-        packer.packMapHeader(message.usualNanos().size());
-        for (Map.Entry<String, Long> entry : message.usualNanos().entrySet()) {
+        packer.packMapHeader(message.typicalNanos().size());
+        for (Map.Entry<String, Long> entry : message.typicalNanos().entrySet()) {
             packer.packString(entry.getKey());
             packer.packLong(entry.getValue());
         }
@@ -36,13 +36,13 @@
     public ServiceTimesMessage read(MessageUnpacker unpacker) throws IOException {
         String service = unpacker.unpackString();
         int count = unpacker.unpackMapHeader();
-        if (count > MOST_ROUTES) {
-            throw new IOException("expected at most " + MOST_ROUTES + " routes but got " + count);
+        if (count > MAX_ROUTES) {
+            throw new IOException("expected at most " + MAX_ROUTES + " routes but got " + count);
         }
-        Map<String, Long> usualNanos = new HashMap<>();
+        Map<String, Long> typicalNanos = new HashMap<>();
         for (int i = 0; i < count; i++) {
-            usualNanos.put(unpacker.unpackString(), unpacker.unpackLong());
+            typicalNanos.put(unpacker.unpackString(), unpacker.unpackLong());
         }
-        return new ServiceTimesMessage(service, usualNanos);
+        return new ServiceTimesMessage(service, typicalNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** Drives the decisions of server groups on their owner, and carries tries to owners on other VMs. */
+/** Runs the decisions of server groups on their owner, and forwards attempts to owners on other VMs. */
 package io.coppershelf.admission.internal.runtime;
--- a/coppershelf/src/main/java/io/coppershelf/admission/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Slots, queues and early refusal for a server group: the backend servers of one service in one data centre, which one
- * owner VM serves at a time. Pure decisions, and the part of the daemon that drives them.
+ * Admission control for a server group, the backend servers of one service in one data centre: slots, queueing and
+ * early refusal. One owner VM serves a group at a time. The decisions are pure; the {@code internal.runtime} package
+ * connects them to the daemon.
  */
 package io.coppershelf.admission;
--- a/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
@@ -21,9 +21,9 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Drives a server group in virtual time and keeps what it wants done. */
+/** Runs a server group in virtual time and keeps the actions that it returns. */
 final class GroupDriver {
-    static final Duration USUAL = Duration.ofMillis(50);
+    static final Duration SERVICE_TIME = Duration.ofMillis(50);
     static final String READ = "rotavis/week";
     static final String CLAIM = "rotavis/claim";
 
@@ -33,7 +33,7 @@
     private final Map<String, Sent> sent = new LinkedHashMap<>();
     private final Set<String> stalled = new HashSet<>();
     private boolean serving;
-    private int tries;
+    private int attempts;
 
     private record Sent(String server, long dueNanos) {}
 
@@ -48,11 +48,11 @@
     GroupDriver send(GroupEvent event) {
         actions.clear();
         actions.addAll(group.on(event, now));
-        remember(actions);
+        schedule(actions);
         return this;
     }
 
-    GroupDriver pass(Duration time) {
+    GroupDriver advance(Duration time) {
         List<GroupAction> all = new ArrayList<>();
         for (long left = time.toMillis(); left > 0; left -= 50) {
             now += Duration.ofMillis(Math.min(left, 50)).toNanos();
@@ -68,7 +68,7 @@
     }
 
     String request(String route, int weight, Duration deadline, boolean hedge) {
-        String attemptId = "try-" + tries++;
+        String attemptId = "try-" + attempts++;
         send(new RequestArrived(attemptId, route, !route.equals(CLAIM), weight, now + deadline.toNanos(), hedge));
         return attemptId;
     }
@@ -86,20 +86,20 @@
         return send(ended(attemptId, error, state));
     }
 
-    /** Lets the servers answer by themselves, in {@link #USUAL}. */
+    /** Makes the servers answer every attempt after {@link #SERVICE_TIME}. */
     GroupDriver serve() {
         serving = true;
         return this;
     }
 
-    /** Lets a server answer nothing any more. */
+    /** Makes a server stop answering. */
     GroupDriver stall(String server) {
         stalled.add(server);
         return this;
     }
 
-    /** Lets a server answer again what is sent from now on. */
-    GroupDriver heal(String server) {
+    /** Makes a stalled server answer again. */
+    GroupDriver recover(String server) {
         stalled.remove(server);
         return this;
     }
@@ -120,7 +120,7 @@
 
     private List<GroupAction> step() {
         List<GroupAction> all = new ArrayList<>(group.on(new Tick(), now));
-        remember(all);
+        schedule(all);
         for (Map.Entry<String, Sent> entry : List.copyOf(sent.entrySet())) {
             if (entry.getValue().dueNanos() <= now
                     && !stalled.contains(entry.getValue().server())) {
@@ -131,15 +131,15 @@
         return all;
     }
 
-    private void remember(List<GroupAction> wanted) {
+    private void schedule(List<GroupAction> returned) {
         if (!serving) {
             return;
         }
-        for (GroupAction action : wanted) {
+        for (GroupAction action : returned) {
             if (action instanceof Dispatch dispatch) {
-                sent.put(dispatch.attemptId(), new Sent(dispatch.server(), now + USUAL.toNanos()));
+                sent.put(dispatch.attemptId(), new Sent(dispatch.server(), now + SERVICE_TIME.toNanos()));
             } else if (action instanceof CancelOnServer cancel && sent.containsKey(cancel.attemptId())) {
-                remember(group.on(ended(cancel.attemptId(), ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED), now));
+                schedule(group.on(ended(cancel.attemptId(), ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED), now));
             }
         }
     }
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
@@ -27,7 +27,7 @@
     private final GroupDriver driver = new GroupDriver();
 
     @Test
-    void drainsAtTheFirstSignAndFinishesWhatRuns() {
+    void drainsByTicketWithoutCancellingRunningAttempts() {
         driver.configure(server("a", 2, false), server("b", 2, false));
         driver.request(CLAIM, 1, SECOND);
         driver.configure(server("a", 2, true), server("b", 2, true));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void takesBackADrainedServerByTicketAsACold() {
+    void startsAServerColdWhenATicketEndsItsDrain() {
         driver.configure(server("a", 2, true));
         driver.configure(server("a", 2, false));
         assertThat(driver.all(ConditionChanged.class))
@@ -47,19 +47,19 @@
     }
 
     @Test
-    void doesNotTakeBackAServerThatDrainsByItsOwnWordForALaggingProbe() {
+    void keepsAServerDrainingWhenAProbeLagsBehindItsOwnReport() {
         driver.configure(server("a", 2, false));
         driver.send(new ProbeEnded("a", Optional.of(ServerState.DRAINING)));
-        driver.pass(Duration.ofSeconds(6));
+        driver.advance(Duration.ofSeconds(6));
         assertThat(driver.all(Probe.class)).contains(new Probe("a"));
         driver.send(new ProbeEnded("a", Optional.of(ServerState.READY)));
         assertThat(driver.status("a").condition()).isEqualTo(ServerCondition.DRAINING);
-        driver.pass(Duration.ofSeconds(5)).send(new ProbeEnded("a", Optional.of(ServerState.READY)));
+        driver.advance(Duration.ofSeconds(5)).send(new ProbeEnded("a", Optional.of(ServerState.READY)));
         assertThat(driver.status("a").condition()).isEqualTo(ServerCondition.COLD);
     }
 
     @Test
-    void rampsAServerThatJoinsOrSaysThatItIsCold() {
+    void rampsUpAServerThatIsAddedOrReportsItselfCold() {
         driver.configure(server("a", 6, false));
         driver.configure(server("a", 6, false), server("b", 6, false));
         assertThat(driver.status("a").condition()).isEqualTo(ServerCondition.IN_SERVICE);
@@ -67,31 +67,31 @@
         assertThat(driver.group.status(driver.now).freeSlots()).isEqualTo(8);
         driver.send(new ProbeEnded("a", Optional.of(ServerState.COLD)));
         assertThat(driver.group.status(driver.now).freeSlots()).isEqualTo(4);
-        driver.send(new ProbeEnded("a", Optional.of(ServerState.READY))).pass(Duration.ofSeconds(11));
+        driver.send(new ProbeEnded("a", Optional.of(ServerState.READY))).advance(Duration.ofSeconds(11));
         assertThat(driver.status("a").condition()).isEqualTo(ServerCondition.IN_SERVICE);
         assertThat(driver.group.status(driver.now).freeSlots()).isEqualTo(12);
     }
 
     @Test
-    void answersACancelledRequestThatWaitsAsNotRunAndCancelsOneThatRuns() {
+    void refusesACancelledQueuedRequestAndCancelsARunningOneOnItsServer() {
         driver.configure(server("a", 1, false));
         String running = driver.request(CLAIM, 1, SECOND);
-        String waiting = driver.request(CLAIM, 1, SECOND);
-        driver.send(new RequestCancelled(waiting));
+        String queued = driver.request(CLAIM, 1, SECOND);
+        driver.send(new RequestCancelled(queued));
         assertThat(driver.all(Refuse.class))
-                .containsExactly(new Refuse(waiting, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
+                .containsExactly(new Refuse(queued, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
         driver.send(new RequestCancelled(running));
         assertThat(driver.all(CancelOnServer.class)).containsExactly(new CancelOnServer(running, "a"));
         assertThat(driver.all(Dispatch.class)).isEmpty();
     }
 
     @Test
-    void sendsNoClaimToAServerInProbation() {
+    void sendsNoNonIdempotentRequestToAServerInProbation() {
         driver.configure(server("a", 2, false), server("b", 6, false));
         driver.serve().load(READ, SECOND).stall("a").load(READ, SECOND);
         driver.send(new ProbeEnded("a", Optional.of(ServerState.READY))).load(READ, SECOND);
         driver.send(new EjectionGranted("a", driver.now + Duration.ofHours(1).toNanos()));
-        driver.heal("a").pass(Duration.ofSeconds(6));
+        driver.recover("a").advance(Duration.ofSeconds(6));
         assertThat(driver.status("a").condition()).isEqualTo(ServerCondition.PROBATION);
         driver.load(CLAIM, Duration.ofSeconds(3));
         assertThat(driver.all(Dispatch.class).stream().map(Dispatch::server).distinct())
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void tellsOtherOwnersTheUsualTimes() {
+    void sharesTypicalServiceTimesWithOtherOwners() {
         driver.configure(server("a", 6, false)).serve().load(READ, Duration.ofSeconds(2));
         assertThat(driver.all(ShareServiceTimes.class)).isNotEmpty();
         assertThat(driver.all(ShareServiceTimes.class).get(0).typicalNanos()).containsKey(READ);
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 import static io.coppershelf.admission.GroupDriver.READ;
-import static io.coppershelf.admission.GroupDriver.USUAL;
+import static io.coppershelf.admission.GroupDriver.SERVICE_TIME;
 import static io.coppershelf.admission.GroupDriver.server;
 
 import io.coppershelf.admission.GroupAction.CancelOnServer;
@@ -32,13 +32,13 @@
     private final GroupDriver driver = new GroupDriver();
 
     @BeforeEach
-    void learnUsualTimes() {
+    void recordTypicalTimes() {
         driver.configure(server("a", 2, false), server("b", 2, false), server("c", 2, false));
-        driver.serve().load(READ, Duration.ofSeconds(2)).pass(SECOND);
+        driver.serve().load(READ, Duration.ofSeconds(2)).advance(SECOND);
     }
 
     @Test
-    void suspectsAndAsksToEjectAStalledServerBeforeAnyAnswerIsLate() {
+    void suspectsAStalledServerAndRequestsItsEjectionBeforeAnyAnswerIsOverdue() {
         driver.stall("a").load(READ, SECOND);
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
         assertThat(driver.all(QueryReachability.class)).contains(new QueryReachability("a"));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void cancelsOverdueRepeatableTriesOfASickServer() {
+    void cancelsOverdueIdempotentAttemptsOnAnUnhealthyServer() {
         driver.stall("a").load(READ, SECOND.multipliedBy(2));
         assertThat(driver.all(CancelOnServer.class)).isNotEmpty();
         assertThat(driver.all(CancelOnServer.class).stream()
@@ -67,30 +67,30 @@
     }
 
     @Test
-    void returnsToSuspicionWhenTheRightLapses() {
+    void returnsToSuspicionWhenTheGrantExpires() {
         eject("a", Duration.ofSeconds(4));
-        driver.pass(Duration.ofSeconds(4));
+        driver.advance(Duration.ofSeconds(4));
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
     }
 
     @Test
-    void returnsToSuspicionWhenTheRightIsRevoked() {
+    void returnsToSuspicionWhenTheGrantIsRevoked() {
         eject("a", Duration.ofSeconds(4));
         driver.send(new EjectionRevoked("a"));
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
     }
 
     @Test
-    void renewsTheRightBeforeItEnds() {
+    void renewsTheGrantBeforeItExpires() {
         eject("a", Duration.ofSeconds(4));
-        driver.pass(Duration.ofSeconds(3));
+        driver.advance(Duration.ofSeconds(3));
         assertThat(driver.all(RequestEjection.class)).isNotEmpty();
     }
 
     @Test
-    void returnsToServiceAfterGoodAnswersInProbation() {
+    void returnsToServiceAfterAnswersAtNormalSpeedInProbation() {
         eject("a", Duration.ofHours(1));
-        driver.heal("a").pass(Duration.ofSeconds(6));
+        driver.recover("a").advance(Duration.ofSeconds(6));
         assertThat(condition("a")).isEqualTo(ServerCondition.PROBATION);
         driver.load(READ, Duration.ofSeconds(5));
         assertThat(driver.all(ReleaseEjection.class)).containsExactly(new ReleaseEjection("a"));
@@ -100,7 +100,7 @@
     @Test
     void ejectsAgainAServerThatFailsItsProbation() {
         eject("a", Duration.ofHours(1));
-        driver.pass(Duration.ofSeconds(6)).load(READ, Duration.ofSeconds(2));
+        driver.advance(Duration.ofSeconds(6)).load(READ, Duration.ofSeconds(2));
         long trials = driver.all(Dispatch.class).stream()
                 .filter(sent -> sent.server().equals("a"))
                 .count();
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void asksToEjectAServerThatOthersCannotReachEither() {
+    void requestsEjectionOfAServerThatOthersCannotReachEither() {
         GroupDriver manual = new GroupDriver();
         manual.configure(server("a", 2, false), server("b", 2, false));
         for (int failure = 0; failure < 20; failure++) {
@@ -140,20 +140,20 @@
     }
 
     @Test
-    void takesItsOwnPauseForNoEvidence() {
-        List<String> tries = new ArrayList<>();
+    void doesNotCountItsOwnPauseAsEvidence() {
+        List<String> attempts = new ArrayList<>();
         driver.stall("a").stall("b").stall("c");
         for (int request = 0; request < 6; request++) {
-            tries.add(driver.request(READ, 1, DEADLINE));
+            attempts.add(driver.request(READ, 1, DEADLINE));
         }
         driver.now += Duration.ofSeconds(30).toNanos();
-        tries.forEach(attemptId -> driver.fail(attemptId, ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED));
+        attempts.forEach(attemptId -> driver.fail(attemptId, ErrorKind.DEADLINE_PASSED, ServerState.UNSTATED));
         driver.send(new Tick());
         assertThat(conditions()).containsExactly(ServerCondition.IN_SERVICE);
     }
 
     @Test
-    void asksToEjectNoServerWhileAllAreSuspected() {
+    void requestsNoEjectionWhileAllServersAreSuspected() {
         driver.stall("a").stall("b").stall("c").load(READ, SECOND);
         List.of("a", "b", "c").forEach(name -> driver.send(new ProbeEnded(name, Optional.of(ServerState.READY))));
         assertThat(driver.all(RequestEjection.class)).isEmpty();
@@ -161,36 +161,36 @@
     }
 
     @Test
-    void takesShedAnswersForNoEvidence() {
+    void doesNotCountRefusalsOfASheddingServerAsEvidence() {
         for (int refusal = 0; refusal < 40; refusal++) {
             String attemptId = driver.request(READ, 1, DEADLINE);
             driver.fail(attemptId, ErrorKind.SERVER_REFUSED, ServerState.SHEDDING)
-                    .pass(USUAL);
+                    .advance(SERVICE_TIME);
         }
         assertThat(conditions()).containsExactly(ServerCondition.IN_SERVICE);
     }
 
     @Test
-    void suspectsAServerThatFailsOneKindOnly() {
+    void suspectsAServerThatFailsOneRouteOnly() {
         for (int round = 0; round < 20; round++) {
             String attemptId = driver.request(READ, 1, DEADLINE);
-            boolean sick = driver.all(Dispatch.class).get(0).server().equals("a");
-            driver.answer(attemptId, sick ? 500 : 200, ServerState.READY);
+            boolean unhealthy = driver.all(Dispatch.class).get(0).server().equals("a");
+            driver.answer(attemptId, unhealthy ? 500 : 200, ServerState.READY);
         }
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
         assertThat(driver.status("a").reason()).isEqualTo("errors");
     }
 
     @Test
-    void givesBackARightThatItDoesNotNeed() {
+    void releasesAGrantThatItDoesNotNeed() {
         driver.send(new EjectionGranted("b", driver.now + DEADLINE.toNanos()));
         assertThat(driver.all(ReleaseEjection.class)).containsExactly(new ReleaseEjection("b"));
     }
 
-    private void eject(String name, Duration right) {
+    private void eject(String name, Duration grantDuration) {
         driver.stall(name).load(READ, SECOND);
         driver.send(new ProbeEnded(name, Optional.of(ServerState.READY))).load(READ, SECOND);
-        driver.send(new EjectionGranted(name, driver.now + right.toNanos()));
+        driver.send(new EjectionGranted(name, driver.now + grantDuration.toNanos()));
     }
 
     private ServerCondition condition(String name) {
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupSlotsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupSlotsTest.java
@@ -42,28 +42,28 @@
     }
 
     @Test
-    void refusesAtOnceWhatCannotFinishByItsDeadline() {
+    void refusesARequestThatCannotFinishByItsDeadlineAtArrival() {
         driver.configure(server("a", 1, false));
         String first = driver.request(READ, 1, SECOND);
-        driver.pass(Duration.ofMillis(200)).answer(first);
+        driver.advance(Duration.ofMillis(200)).answer(first);
         String late = driver.request(READ, 1, Duration.ofMillis(100));
         assertThat(driver.all(Refuse.class).get(0).attemptId()).isEqualTo(late);
         assertThat(driver.all(Refuse.class).get(0).error()).isEqualTo(ErrorKind.OVERLOADED);
     }
 
     @Test
-    void refusesAsNotRunByTheDeadlineWhatWaitsInVain() {
+    void refusesAQueuedRequestAsNotRunAtItsDeadline() {
         driver.configure(server("a", 1, false));
         driver.request(CLAIM, 1, SECOND);
         String queued = driver.request(CLAIM, 1, Duration.ofMillis(400));
-        driver.pass(Duration.ofMillis(400));
+        driver.advance(Duration.ofMillis(400));
         assertThat(driver.all(Refuse.class).get(0).attemptId()).isEqualTo(queued);
         assertThat(driver.all(Refuse.class).get(0).error().outcome()).isEqualTo(Outcome.NOT_RUN);
         assertThat(driver.all(Dispatch.class)).isEmpty();
     }
 
     @Test
-    void sendsNothingNewToDrainingServers() {
+    void sendsNoNewRequestsToDrainingServers() {
         driver.configure(server("a", 1, true), server("b", 1, false));
         String onB = driver.request(READ, 1, SECOND);
         assertThat(driver.all(Dispatch.class)).containsExactly(new Dispatch(onB, "b"));
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionPartsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionInternalsTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class AdmissionPartsTest {
+class AdmissionInternalsTest {
     @Test
-    void countsASlotFromDispatchToEnd() {
+    void occupiesASlotFromDispatchToEnd() {
         SlotTable slots = new SlotTable();
         RunningAttempt running = new RunningAttempt(new RequestArrived("try", "r", true, 1, 0, false), "a", 0);
         slots.occupy(running);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void asksCallersToComeBackLaterTheMoreIsRefused() {
+    void returnsALongerRetryDelayTheMoreIsRefused() {
         RetryAfterEstimate estimate = new RetryAfterEstimate(new Random(1));
         assertThat(estimate.retryAfter(0)).isAtMost(Duration.ofMillis(1_250));
         for (int refusal = 0; refusal < 500; refusal++) {
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void knowsTheTimeLeftOfARunningTry() {
+    void estimatesTheRemainingTimeOfARunningAttempt() {
         MeanServiceTimes times = new MeanServiceTimes();
         times.record("r", millis(100));
         assertThat(times.meanNanos("r")).isEqualTo(millis(100));
@@ -77,7 +77,7 @@
         ", NO_SERVER, UNSTATED, NOT_CONNECTED",
         ", ANSWER_TOO_LARGE, UNSTATED, NEUTRAL"
     })
-    void knowsWhatTheEndOfATrySaysOfItsServer(Integer status, ErrorKind error, ServerState state, AttemptEnd end) {
+    void classifiesTheEndOfAnAttempt(Integer status, ErrorKind error, ServerState state, AttemptEnd end) {
         AttemptEnded ended = new AttemptEnded("try", Optional.ofNullable(status), Optional.ofNullable(error), state);
         assertThat(AttemptEndClassifier.classify(ended)).isEqualTo(end);
     }
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
@@ -22,21 +22,21 @@
         DeadlineQueue filled = new DeadlineQueue();
         int number = 0;
         for (int deadline : deadlines) {
-            filled.add(waiting("try-" + number++, 1, deadline));
+            filled.add(queued("try-" + number++, 1, deadline));
         }
         assertThat(filled.attempts().stream()
-                        .map(waiting -> waiting.request().deadlineNanos())
+                        .map(queued -> queued.request().deadlineNanos())
                         .toList())
                 .isInOrder();
         assertThat(filled.workNanos(filled.size())).isEqualTo(deadlines.size() * SERVICE);
-        filled.removeFirst(waiting -> true);
+        filled.removeFirst(queued -> true);
         assertThat(filled.workNanos(filled.size())).isEqualTo(Math.max(0, deadlines.size() - 1) * SERVICE);
     }
 
     @Test
-    void givesUpTheLeastWeightedTryWhenSlotsAreLost() {
-        queue.add(waiting("light", 1, 190));
-        queue.add(waiting("heavy", 10, 200));
+    void dropsTheAttemptOfTheLowestWeightWhenSlotsAreLost() {
+        queue.add(queued("light", 1, 190));
+        queue.add(queued("heavy", 10, 200));
         assertThat(QueueShedder.selectAttempts(queue, new WaitEstimate(2, 0, SERVICE), 0))
                 .isEmpty();
         assertThat(QueueShedder.selectAttempts(queue, new WaitEstimate(1, 0, SERVICE / 2), 0).stream()
@@ -46,22 +46,22 @@
 
     @Test
     void estimatesTheWaitFromTheWorkAhead() {
-        queue.add(waiting("a", 1, 500));
-        queue.add(waiting("b", 1, 600));
+        queue.add(queued("a", 1, 500));
+        queue.add(queued("b", 1, 600));
         assertThat(new WaitEstimate(2, 0, 2 * SERVICE).waitNanos(queue, 2)).isEqualTo(2 * SERVICE);
         assertThat(new WaitEstimate(2, 3, 0).waitNanos(queue, 2)).isEqualTo(0);
     }
 
     @Test
-    void admitsNothingThatWouldMakeAWaitingTryLate() {
-        queue.add(waiting("patient", 1, 250));
+    void admitsNothingThatWouldMakeAQueuedAttemptMissItsDeadline() {
+        queue.add(queued("patient", 1, 250));
         WaitEstimate estimate = new WaitEstimate(1, 0, SERVICE);
         assertThat(estimate.keepsLaterDeadlines(queue, 1, SERVICE, 0)).isTrue();
         assertThat(estimate.keepsLaterDeadlines(queue, 0, SERVICE, 0)).isFalse();
     }
 
     @Test
-    void refusesTheLeastWeightedKindsFirst() {
+    void refusesRequestsOfTheLowestWeightFirst() {
         MeanServiceTimes serviceTimes = new MeanServiceTimes();
         serviceTimes.record("light", SERVICE);
         serviceTimes.record("heavy", SERVICE);
@@ -69,14 +69,14 @@
         WaitEstimate estimate = new WaitEstimate(1, 0, SERVICE);
         assertThat(admission.admits(request("first", 10, 2_000), estimate, 0)).isTrue();
         for (int backlog = 0; backlog < 5; backlog++) {
-            queue.add(waiting("waiting-" + backlog, 10, 2_000));
+            queue.add(queued("waiting-" + backlog, 10, 2_000));
         }
         assertThat(admission.admits(request("light", 1, 2_000), estimate, 0)).isFalse();
         assertThat(admission.admits(request("heavy", 10, 2_000), estimate, 0)).isTrue();
         assertThat(admission.admits(request("urgent", 10, 90), estimate, 0)).isFalse();
     }
 
-    private static QueuedAttempt waiting(String attemptId, int weight, int deadlineMillis) {
+    private static QueuedAttempt queued(String attemptId, int weight, int deadlineMillis) {
         return new QueuedAttempt(request(attemptId, weight, deadlineMillis), SERVICE);
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/runtime/ForwardTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/runtime/ForwardTest.java
@@ -46,7 +46,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Tries between the VM that received them and the owner of their group. */
+/** Attempts that are forwarded from the VM that received the request to the owner of the server group. */
 class ForwardTest implements BackendClient {
     private static final GroupName GROUP = new GroupName(FakeComponents.SERVICE, "herning");
     private static final Vm OWNER = new Vm("vm-2", 1, "herning", "127.0.0.1", 1, 2, false);
@@ -56,7 +56,7 @@
     private final TimeSource time = TimeSource.system();
     private final List<FakeExchange> sent = new CopyOnWriteArrayList<>();
     private LocalGroups groups;
-    private AttemptSender owners;
+    private AttemptSender sender;
 
     @BeforeEach
     void start() {
@@ -69,7 +69,7 @@
                 name -> new GroupRuntime(
                         name, ServerGroup.create(name, new Random(1)), this, time, runtime -> action -> {}));
         new ForwardServer(groups).register(peers, time);
-        owners = new PeerAttemptSender(FakeComponents.SELF.id(), groups, peers, time);
+        sender = new PeerAttemptSender(FakeComponents.SELF.id(), groups, peers, time);
     }
 
     private AttemptRequest request(String attemptId, GroupName group) {
@@ -89,7 +89,7 @@
     }
 
     private AttemptExchange forward(String attemptId) {
-        return owners.send(OWNER, request(attemptId, GROUP));
+        return sender.send(OWNER, request(attemptId, GROUP));
     }
 
     private static Optional<ErrorKind> error(AttemptExchange exchange) {
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void carriesWholeTryToTheOwnerAndWholeAnswerBack() {
+    void forwardsCompleteAttemptToTheOwnerAndReturnsCompleteAnswer() {
         AttemptExchange exchange = forward("t1");
         BackendRequest received = sent.get(0).request;
         sent.get(0).result.complete(BackendResult.answered(ANSWER, ServerState.READY));
@@ -122,7 +122,7 @@
         "REQUEST_LOST, OWNER_LOST, 0",
         "REPLY_LOST, OWNER_LOST, 1",
     })
-    void tellsNotRunOnlyIfNothingWasSent(Fault fault, ErrorKind expected, int dispatched) {
+    void reportsNotRunOnlyIfNothingWasSent(Fault fault, ErrorKind expected, int dispatched) {
         peers.fault = fault;
 
         AttemptExchange exchange = forward("t1");
@@ -134,7 +134,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"SERVER_LOST", "ANSWER_FOREIGN", "SERVER_REFUSED", "NO_SERVER", "DEADLINE_BEFORE_RUN"})
-    void passesErrorKindOn(ErrorKind kind) {
+    void returnsErrorKindOfTheOwner(ErrorKind kind) {
         AttemptExchange exchange = forward("t1");
         sent.get(0).result.complete(BackendResult.failed(kind, ServerState.READY));
 
@@ -144,13 +144,13 @@
     @ParameterizedTest
     @CsvSource({"vagtbank, viborg, NO_SERVER", "nosuch, herning, NO_SERVER"})
     void refusesGroupWithoutServersAsNotRun(String service, String dataCentre, ErrorKind expected) {
-        AttemptExchange exchange = owners.send(OWNER, request("t1", new GroupName(service, dataCentre)));
+        AttemptExchange exchange = sender.send(OWNER, request("t1", new GroupName(service, dataCentre)));
 
         assertThat(error(exchange)).hasValue(expected);
     }
 
     @Test
-    void refusesNewTriesWhileItStops() {
+    void refusesNewAttemptsWhileStopping() {
         AttemptExchange running = forward("t1");
         groups.beginStop();
 
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void queuesWhatHasNoSlotAndProvesItNotRunOnCancel() {
+    void queuesAttemptWithoutSlotAndReportsItNotRunOnCancel() {
         AttemptExchange first = forward("t1");
         AttemptExchange second = forward("t2");
         assertThat(sent).hasSize(1);
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void asksServerToCancelWhatRuns() {
+    void cancelsRunningAttemptOnTheServer() {
         AttemptExchange exchange = forward("t1");
 
         exchange.cancel();
@@ -188,7 +188,7 @@
 
     @Test
     void ignoresCancelFromAnotherVm() {
-        AttemptExchange exchange = owners.send(FakeComponents.SELF, request("t1", GROUP));
+        AttemptExchange exchange = sender.send(FakeComponents.SELF, request("t1", GROUP));
 
         peers.send(OWNER, new ForwardCancel("t1"));
 
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void sendsTryIdOnceOnly() {
+    void sendsAttemptIdOnlyOnce() {
         AttemptExchange first = forward("t1");
 
         assertThat(error(forward("t1")).map(ErrorKind::outcome)).hasValue(Outcome.UNKNOWN);
@@ -222,7 +222,7 @@
                 false,
                 time.nanos());
 
-        assertThat(error(owners.send(OWNER, tooLate))).hasValue(ErrorKind.DEADLINE_BEFORE_RUN);
+        assertThat(error(sender.send(OWNER, tooLate))).hasValue(ErrorKind.DEADLINE_BEFORE_RUN);
         assertThat(sent).isEmpty();
     }
 
@@ -235,12 +235,12 @@
 
     @ParameterizedTest
     @MethodSource("results")
-    void keepsReplyOverTheWire(AttemptResult result) {
+    void readsReplyAsWritten(AttemptResult result) {
         assertThat(peers.copy(new ForwardReply("t1", result))).isEqualTo(new ForwardReply("t1", result));
     }
 
     @Test
-    void keepsEvidenceOverTheWire() {
+    void readsHealthEvidenceAsWritten() {
         LoopbackPeerExchange pair = new LoopbackPeerExchange("vm-9");
         pair.register(new ServiceTimesMessageCodec());
         pair.register(new ReachabilityQueryCodec());
@@ -254,7 +254,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, -1, Long.MIN_VALUE, Long.MAX_VALUE})
-    void refusesAbsurdTimeLeft(long remainingMillis) throws IOException {
+    void rejectsInvalidRemainingTime(long remainingMillis) throws IOException {
         ForwardRequestCodec codec = new ForwardRequestCodec(time);
         MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
         codec.write(new ForwardRequest(request("t1", GROUP), remainingMillis), packer);
