--- a/coppershelf/src/main/java/io/coppershelf/routing/InboundRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/InboundRequest.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * A whole request of a caller, read and checked.
+ * A complete request of a caller that was read and validated.
  *
- * @param id unique over the fleet
- * @param route the route that it matched
+ * @param id the id of the request, unique in the fleet
+ * @param route the matched route
  * @param target the path and query
- * @param headers the caller's headers that go on, without hop-by-hop ones and ours
- * @param body the whole body
- * @param idempotencyKey the caller's key
- * @param deadlineNanos the monotonic time by which the answer must be out
+ * @param headers the caller's headers to forward, without hop-by-hop and Coppershelf headers
+ * @param body the complete body
+ * @param idempotencyKey the idempotency key of the caller
+ * @param deadlineNanos the monotonic time by which the answer must be sent
  */
 public record InboundRequest(
         String id,
--- a/coppershelf/src/main/java/io/coppershelf/routing/RequestResult.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/RequestResult.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 
 /**
- * What a caller is told: a server's whole answer, or an error kind.
+ * The result of a request for its caller: a server's complete answer, or an error kind.
  *
  * @param answer the answer, empty if there is an error
  * @param error the error kind, empty if there is an answer
- * @param retryAfter when to come back, if that is better known than the default of the kind
+ * @param retryAfter the time after which to retry, if there is one
  */
 public record RequestResult(Optional<Answer> answer, Optional<ErrorKind> error, Optional<Duration> retryAfter) {
     /** Returns the result of a request that was answered. */
@@ -18,12 +18,12 @@
         return new RequestResult(Optional.of(answer), Optional.empty(), Optional.empty());
     }
 
-    /** Returns the result of a request that failed, with the default time to come back. */
+    /** Returns the result of a request that failed, with the default retry time of the error kind. */
     public static RequestResult failed(ErrorKind error) {
         return new RequestResult(Optional.empty(), Optional.of(error), error.retryAfter());
     }
 
-    /** Returns the result of a request that failed, with a time to come back. */
+    /** Returns the result of a request that failed, with the given retry time. */
     public static RequestResult failed(ErrorKind error, Duration retryAfter) {
         return new RequestResult(Optional.empty(), Optional.of(error), Optional.of(retryAfter));
     }
--- a/coppershelf/src/main/java/io/coppershelf/routing/RoutingComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/RoutingComponent.java
@@ -5,7 +5,7 @@
 import io.coppershelf.routing.internal.Routing;
 import java.time.Duration;
 
-/** The part that takes a request from receipt to answer. */
+/** The component that serves requests from receipt to answer. */
 public final class RoutingComponent implements Component {
     private final Routing routing = new Routing();
 
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/AttemptPolicies.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/AttemptPolicies.java
@@ -8,22 +8,22 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** Makes the try policy of each service from the configuration and the fleet in force. */
+/** Creates the attempt policies of services from the current configuration and fleet. */
 final class AttemptPolicies {
     private final ServiceGroups groups;
     private final OwnerLookup lookup;
     private final GroupLoadCache loads;
-    private final GroupSelector choice;
+    private final GroupSelector selector;
     private final ConcurrentMap<String, ServiceRetryBudget> budgets = new ConcurrentHashMap<>();
 
-    AttemptPolicies(ServiceGroups groups, OwnerLookup lookup, GroupLoadCache loads, GroupSelector choice) {
+    AttemptPolicies(ServiceGroups groups, OwnerLookup lookup, GroupLoadCache loads, GroupSelector selector) {
         this.groups = groups;
         this.lookup = lookup;
         this.loads = loads;
-        this.choice = choice;
+        this.selector = selector;
     }
 
-    /** Counts a first try of the service and returns the policy for its further tries. */
+    /** Counts a first attempt of the service and returns the policy for the attempts of the request. */
     AttemptPolicy recordFirstAttempt(String service, long nowNanos) {
         ServiceRetryBudget budget = budgets.computeIfAbsent(service, key -> new ServiceRetryBudget());
         synchronized (budget) {
@@ -48,8 +48,8 @@
             List<GroupName> candidates = groups.of(service).stream()
                     .filter(group -> !excluded.contains(group))
                     .toList();
-            synchronized (choice) {
-                return choice.select(candidates, group -> loads.expectedWaitNanos(group, nowNanos));
+            synchronized (selector) {
+                return selector.select(candidates, group -> loads.expectedWaitNanos(group, nowNanos));
             }
         }
 
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/AttemptPolicy.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/AttemptPolicy.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a request asks before it sends a further try. */
+/** Selects the groups for the attempts of a request and limits its retries. */
 public interface AttemptPolicy {
-    /** Returns the server group to try, none of the given ones; empty if there is no other. */
+    /** Selects a server group that isn't excluded; empty if there is none. */
     Optional<GroupName> selectGroup(Set<GroupName> excluded);
 
     /** Returns the number of VMs that may serve the group. */
     int ownerCount(GroupName group);
 
-    /** Takes one try from the retry budget of the service; false if it is used up. */
+    /** Spends one retry of the service's retry budget; returns false if the budget is exhausted. */
     boolean spendRetry();
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupLoadCache.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupLoadCache.java
@@ -8,29 +8,32 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** What the owners last told of the load of their groups; forgotten after a while. Safe for use by several threads. */
+/**
+ * Caches the load that owners last reported for their groups; entries expire after a short time. Safe for use by
+ * several threads.
+ */
 final class GroupLoadCache {
-    private static final Duration MEMORY = Duration.ofSeconds(1);
+    private static final Duration ENTRY_LIFETIME = Duration.ofSeconds(1);
     private static final Duration WAIT_AFTER_REFUSAL = Duration.ofSeconds(1);
     private static final Duration WAIT_WITHOUT_FREE_SLOT = Duration.ofMillis(1);
-    private static final int MOST_GROUPS = 4_096;
+    private static final int MAX_GROUPS = 4_096;
 
-    private final ConcurrentMap<GroupName, Heard> heard = new ConcurrentHashMap<>();
+    private final ConcurrentMap<GroupName, Entry> entries = new ConcurrentHashMap<>();
 
-    /** Takes in what a try told of the group. */
+    /** Records the load of the group that the result of an attempt carries. */
     void record(GroupName group, AttemptResult result, long nowNanos) {
-        if (heard.size() >= MOST_GROUPS) {
-            heard.values().removeIf(entry -> entry.isStale(nowNanos));
+        if (entries.size() >= MAX_GROUPS) {
+            entries.values().removeIf(entry -> entry.isStale(nowNanos));
         }
         boolean isRefused = result.error()
                 .filter(error -> error.outcome() == Outcome.NOT_RUN)
                 .isPresent();
         if (isRefused) {
-            long told = result.load().map(GroupLoadCache::waitNanos).orElse(0L);
-            heard.put(group, new Heard(Math.max(told, WAIT_AFTER_REFUSAL.toNanos()), nowNanos));
+            long reported = result.load().map(GroupLoadCache::waitNanos).orElse(0L);
+            entries.put(group, new Entry(Math.max(reported, WAIT_AFTER_REFUSAL.toNanos()), nowNanos));
             return;
         }
-        result.load().ifPresent(load -> heard.put(group, new Heard(waitNanos(load), nowNanos)));
+        result.load().ifPresent(load -> entries.put(group, new Entry(waitNanos(load), nowNanos)));
     }
 
     private static long waitNanos(GroupLoad load) {
@@ -39,15 +42,15 @@
                 : load.expectedWaitNanos() + WAIT_WITHOUT_FREE_SLOT.toNanos();
     }
 
-    /** Returns the wait that a new request is expected to have, 0 if nothing is known. */
+    /** Returns the expected wait of a new request, 0 if no load is known. */
     long expectedWaitNanos(GroupName group, long nowNanos) {
-        Heard entry = heard.get(group);
+        Entry entry = entries.get(group);
         return entry == null || entry.isStale(nowNanos) ? 0 : entry.waitNanos();
     }
 
-    private record Heard(long waitNanos, long heardNanos) {
+    private record Entry(long waitNanos, long recordedNanos) {
         boolean isStale(long nowNanos) {
-            return nowNanos - heardNanos > MEMORY.toNanos();
+            return nowNanos - recordedNanos > ENTRY_LIFETIME.toNanos();
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupSelector.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupSelector.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses one of the server groups of a service by the better of two choices; the group of the own data centre is one
+ * Selects one of the server groups of a service by the power of two choices; the group of this VM's data centre is one
  * of the two and wins a tie.
  *
  * @see <a href="https://doi.org/10.1109/71.963420">Mitzenmacher, The Power of Two Choices in Randomized Load Balancing,
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Returns the group to use, empty if there is no candidate.
+     * Selects a group, empty if there is no candidate.
      *
      * @param candidates the groups that may be used
      * @param expectedWaitNanos the last known wait of a group
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestAction.java
@@ -6,24 +6,27 @@
 import io.coppershelf.routing.RequestResult;
 import java.util.Optional;
 
-/** What a request wants done. */
+/** An action that the decisions of a request return. */
 public sealed interface RequestAction {
     /**
-     * Send a try.
+     * Sends an attempt.
      *
-     * @param number the number of the try within the request
+     * @param number the number of the attempt within the request
      * @param group the server group
-     * @param candidate the place of the owner among the candidates of the group, from 0
-     * @param hedge whether it is a second, parallel try
+     * @param candidate the index of the owner among the candidates of the group
+     * @param hedge whether it is a hedge
      */
     record SendAttempt(int number, GroupName group, int candidate, boolean hedge) implements RequestAction {}
 
-    /** Give a try up. */
+    /** Cancels an attempt. */
     record CancelAttempt(int number) implements RequestAction {}
 
-    /** Answer the caller; happens once. */
+    /** Answers the caller; returned exactly once for each request. */
     record AnswerCaller(RequestResult result) implements RequestAction {}
 
-    /** All that can be known about the execution is known; happens once, also after the caller was answered. */
+    /**
+     * Records the final outcome of the request; returned once for each started request, possibly after the caller was
+     * answered.
+     */
     record RecordOutcome(Outcome outcome, Optional<Answer> answer) implements RequestAction {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
@@ -19,46 +19,47 @@
 import java.util.TreeMap;
 
 /**
- * The decisions on the tries of one request: events in, actions out.
+ * The decisions on the attempts of one request: a state machine that maps events to actions.
  *
- * <p>A non-idempotent request has at most one try under way, and gets a further one only after the result of the one
- * before proves that it did not run. The caller is told {@code not run} only if that is proved of every try. Not safe
- * for use by several threads.
+ * <p>A non-idempotent request has at most one attempt in flight, and is retried only if the result of the previous
+ * attempt proves that it did not run. The caller receives {@code not run} only if that is proved for every attempt. Not
+ * safe for use by several threads.
  */
 public final class RequestDecisions {
-    private static final int MOST_TRIES = 3;
-    private static final int MOST_HOPS = 9;
+    private static final int MAX_ATTEMPTS = 3;
+    /** Includes attempts that are sent on to another owner because the previous one was unavailable. */
+    private static final int MAX_SENDS = 9;
 
     private final boolean isIdempotent;
     private final AttemptPolicy policy;
-    private final Map<Integer, SendAttempt> open = new TreeMap<>();
+    private final Map<Integer, SendAttempt> inFlight = new TreeMap<>();
     private final Set<GroupName> excluded = new HashSet<>();
-    private int hops;
-    private int tries;
+    private int sends;
+    private int retries;
     private boolean isStarted;
-    private boolean isGivenUp;
+    private boolean isCutOff;
     private boolean isAnswered;
-    private boolean isSettled;
-    private Optional<ErrorKind> uncertain = Optional.empty();
+    private boolean isOutcomeRecorded;
+    private Optional<ErrorKind> unknownOutcomeError = Optional.empty();
     private Optional<AttemptResult> refusal = Optional.empty();
 
-    /** Returns the decisions of a request that was not started yet. */
+    /** Creates the decisions of a request that was not started yet. */
     public RequestDecisions(boolean isIdempotent, AttemptPolicy policy) {
         this.isIdempotent = isIdempotent;
         this.policy = policy;
     }
 
-    /** Takes in one event and returns what is to be done, in order. */
+    /** Handles one event and returns the actions to perform, in order. */
     public List<RequestAction> on(RequestEvent event) {
         List<RequestAction> actions = new ArrayList<>();
         if (event instanceof RequestEvent.Started) {
             start(actions);
-        } else if (event instanceof RequestEvent.AttemptEnded ended) {
-            end(ended, actions);
+        } else if (event instanceof RequestEvent.AttemptEnded attemptEnded) {
+            end(attemptEnded, actions);
         } else if (event instanceof RequestEvent.HedgeDue) {
             hedge(actions);
         } else if (event instanceof RequestEvent.SendCutoffReached) {
-            giveUp(actions);
+            cutOff(actions);
         } else if (event instanceof RequestEvent.DeadlinePassed) {
             passDeadline(actions);
         }
@@ -67,7 +68,7 @@
 
     private void start(List<RequestAction> actions) {
         isStarted = true;
-        if (isGivenUp) {
+        if (isCutOff) {
             finish(actions);
             return;
         }
@@ -81,61 +82,61 @@
     }
 
     private void send(GroupName group, int candidate, boolean hedge, List<RequestAction> actions) {
-        hops++;
-        SendAttempt action = new SendAttempt(hops, group, candidate, hedge);
-        open.put(hops, action);
+        sends++;
+        SendAttempt action = new SendAttempt(sends, group, candidate, hedge);
+        inFlight.put(sends, action);
         actions.add(action);
     }
 
-    private void end(RequestEvent.AttemptEnded ended, List<RequestAction> actions) {
-        SendAttempt done = open.remove(ended.number());
-        if (done == null) {
+    private void end(RequestEvent.AttemptEnded attemptEnded, List<RequestAction> actions) {
+        SendAttempt ended = inFlight.remove(attemptEnded.number());
+        if (ended == null) {
             return;
         }
-        if (ended.result().answer().isPresent()) {
-            succeed(ended.result().answer().get(), actions);
+        if (attemptEnded.result().answer().isPresent()) {
+            succeed(attemptEnded.result().answer().get(), actions);
             return;
         }
-        ErrorKind error = ended.result().error().orElse(ErrorKind.INTERNAL);
-        remember(error, ended.result());
-        if (!open.isEmpty()) {
+        ErrorKind error = attemptEnded.result().error().orElse(ErrorKind.INTERNAL);
+        recordFailure(error, attemptEnded.result());
+        if (!inFlight.isEmpty()) {
             return;
         }
-        if (isAnswered || isGivenUp || !sendNext(done, error, actions)) {
+        if (isAnswered || isCutOff || !sendNext(ended, error, actions)) {
             finish(actions);
         }
     }
 
     private void succeed(Answer answer, List<RequestAction> actions) {
         answerCaller(RequestResult.answered(answer), actions);
-        open.keySet().forEach(number -> actions.add(new CancelAttempt(number)));
-        settle(Outcome.RUN, Optional.of(answer), actions);
+        inFlight.keySet().forEach(number -> actions.add(new CancelAttempt(number)));
+        recordOutcome(Outcome.RUN, Optional.of(answer), actions);
     }
 
-    private void remember(ErrorKind error, AttemptResult result) {
+    private void recordFailure(ErrorKind error, AttemptResult result) {
         if (error.outcome() == Outcome.NOT_RUN) {
             refusal = Optional.of(result);
             return;
         }
-        uncertain = Optional.of(error);
+        unknownOutcomeError = Optional.of(error);
     }
 
-    /** Sends a further try where that is safe and sensible; returns whether it did. */
-    private boolean sendNext(SendAttempt done, ErrorKind error, List<RequestAction> actions) {
-        if (hops >= MOST_HOPS) {
+    /** Sends a further attempt if that is safe and useful; returns whether it did. */
+    private boolean sendNext(SendAttempt ended, ErrorKind error, List<RequestAction> actions) {
+        if (sends >= MAX_SENDS) {
             return false;
         }
-        if (isOwnerAway(error)) {
-            return sendToOtherOwner(done, actions);
+        if (isOwnerUnavailable(error)) {
+            return sendToOtherOwner(ended, actions);
         }
-        if (!isRetryable(error) || tries + 1 >= MOST_TRIES) {
+        if (!isRetryable(error) || retries + 1 >= MAX_ATTEMPTS) {
             return false;
         }
-        return retry(done, error, actions);
+        return retry(ended, error, actions);
     }
 
-    /** Returns whether the owner, and no backend server, refused the try. */
-    private static boolean isOwnerAway(ErrorKind error) {
+    /** Returns whether the owner was unavailable, so that the attempt can be sent to another one. */
+    private static boolean isOwnerUnavailable(ErrorKind error) {
         return error == ErrorKind.OWNER_UNREACHABLE || error == ErrorKind.STOPPING || error == ErrorKind.STARTING;
     }
 
@@ -147,67 +148,68 @@
         };
     }
 
-    private boolean sendToOtherOwner(SendAttempt done, List<RequestAction> actions) {
-        int next = done.candidate() + 1;
-        if (next < policy.ownerCount(done.group())) {
-            send(done.group(), next, done.hedge(), actions);
+    private boolean sendToOtherOwner(SendAttempt ended, List<RequestAction> actions) {
+        int next = ended.candidate() + 1;
+        if (next < policy.ownerCount(ended.group())) {
+            send(ended.group(), next, ended.hedge(), actions);
             return true;
         }
-        excluded.add(done.group());
+        excluded.add(ended.group());
         Optional<GroupName> other = policy.selectGroup(excluded);
-        other.ifPresent(group -> send(group, 0, done.hedge(), actions));
+        other.ifPresent(group -> send(group, 0, ended.hedge(), actions));
         return other.isPresent();
     }
 
-    private boolean retry(SendAttempt done, ErrorKind error, List<RequestAction> actions) {
-        excluded.add(done.group());
+    private boolean retry(SendAttempt ended, ErrorKind error, List<RequestAction> actions) {
+        excluded.add(ended.group());
         Optional<GroupName> other = policy.selectGroup(excluded);
         boolean isSameGroupUseful = error != ErrorKind.OVERLOADED;
         if ((other.isEmpty() && !isSameGroupUseful) || !policy.spendRetry()) {
             return false;
         }
-        tries++;
+        retries++;
         if (other.isPresent()) {
             send(other.get(), 0, false, actions);
             return true;
         }
-        int next = error == ErrorKind.OWNER_LOST ? done.candidate() + 1 : done.candidate();
-        send(done.group(), next % Math.max(1, policy.ownerCount(done.group())), false, actions);
+        int next = error == ErrorKind.OWNER_LOST ? ended.candidate() + 1 : ended.candidate();
+        send(ended.group(), next % Math.max(1, policy.ownerCount(ended.group())), false, actions);
         return true;
     }
 
     private void hedge(List<RequestAction> actions) {
-        if (!isIdempotent || isAnswered || isGivenUp || open.size() != 1 || tries + 1 >= MOST_TRIES) {
+        if (!isIdempotent || isAnswered || isCutOff || inFlight.size() != 1 || retries + 1 >= MAX_ATTEMPTS) {
             return;
         }
-        SendAttempt first = open.values().iterator().next();
-        Set<GroupName> busy = new HashSet<>(excluded);
-        busy.add(first.group());
+        SendAttempt first = inFlight.values().iterator().next();
+        Set<GroupName> excludedForHedge = new HashSet<>(excluded);
+        excludedForHedge.add(first.group());
         if (!policy.spendRetry()) {
             return;
         }
-        tries++;
-        send(policy.selectGroup(busy).orElse(first.group()), 0, true, actions);
+        retries++;
+        send(policy.selectGroup(excludedForHedge).orElse(first.group()), 0, true, actions);
     }
 
-    private void giveUp(List<RequestAction> actions) {
-        isGivenUp = true;
-        open.keySet().forEach(number -> actions.add(new CancelAttempt(number)));
+    private void cutOff(List<RequestAction> actions) {
+        isCutOff = true;
+        inFlight.keySet().forEach(number -> actions.add(new CancelAttempt(number)));
     }
 
     private void passDeadline(List<RequestAction> actions) {
-        isGivenUp = true;
-        ErrorKind error = uncertain.orElse(open.isEmpty() ? ErrorKind.DEADLINE_BEFORE_RUN : ErrorKind.DEADLINE_PASSED);
+        isCutOff = true;
+        ErrorKind error = unknownOutcomeError.orElse(
+                inFlight.isEmpty() ? ErrorKind.DEADLINE_BEFORE_RUN : ErrorKind.DEADLINE_PASSED);
         answerCaller(RequestResult.failed(error), actions);
     }
 
     private void finish(List<RequestAction> actions) {
-        ErrorKind refused = isGivenUp
+        ErrorKind refused = isCutOff
                 ? ErrorKind.DEADLINE_BEFORE_RUN
                 : refusal.flatMap(AttemptResult::error).orElse(ErrorKind.INTERNAL);
-        ErrorKind error = uncertain.orElse(refused);
+        ErrorKind error = unknownOutcomeError.orElse(refused);
         answerCaller(result(error), actions);
-        settle(error.outcome(), Optional.empty(), actions);
+        recordOutcome(error.outcome(), Optional.empty(), actions);
     }
 
     private RequestResult result(ErrorKind error) {
@@ -226,11 +228,11 @@
         actions.add(new AnswerCaller(result));
     }
 
-    private void settle(Outcome outcome, Optional<Answer> answer, List<RequestAction> actions) {
-        if (isSettled || !isStarted) {
+    private void recordOutcome(Outcome outcome, Optional<Answer> answer, List<RequestAction> actions) {
+        if (isOutcomeRecorded || !isStarted) {
             return;
         }
-        isSettled = true;
+        isOutcomeRecorded = true;
         actions.add(new RecordOutcome(outcome, answer));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestEvent.java
@@ -2,20 +2,20 @@
 
 import io.coppershelf.admission.AttemptResult;
 
-/** What happens to a request of a caller. */
+/** An event of a caller's request. */
 public sealed interface RequestEvent {
-    /** The request may be sent: it needed no claim, or its claim was granted. */
+    /** The request may be sent: it needs no claim, or its claim was granted. */
     record Started() implements RequestEvent {}
 
-    /** A try ended. */
+    /** An attempt ended. */
     record AttemptEnded(int number, AttemptResult result) implements RequestEvent {}
 
-    /** The first try takes longer than its kind usually does. */
+    /** The first attempt takes longer than is typical for its route. */
     record HedgeDue() implements RequestEvent {}
 
-    /** The deadline is so near that nothing more is sent. */
+    /** The deadline is so near that no further attempt is sent. */
     record SendCutoffReached() implements RequestEvent {}
 
-    /** The deadline is here. */
+    /** The deadline passed. */
     record DeadlinePassed() implements RequestEvent {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestTimers.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestTimers.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** Tells requests when to hedge, when to give up and when their deadline is here. */
+/** Schedules the hedge, the send cutoff and the deadline of requests. */
 final class RequestTimers implements AutoCloseable {
-    private static final Duration LONGEST_MARGIN = Duration.ofMillis(30);
-    private static final int MARGIN_FRACTION = 20;
+    private static final Duration MAX_MARGIN = Duration.ofMillis(30);
+    private static final int MARGIN_DIVISOR = 20;
 
-    /** Off as long as cancelling the slower try may hold up other tries until their deadline. */
-    private static final boolean IS_HEDGING = false;
+    /** Disabled, as cancelling the slower attempt can delay other attempts until their deadline. */
+    private static final boolean IS_HEDGING_ENABLED = false;
 
     private final ScheduledThreadPoolExecutor executor;
 
@@ -21,19 +21,19 @@
         executor.setRemoveOnCancelPolicy(true);
     }
 
-    /** Sets the timers of a request; they end when its result is there. */
-    void schedule(RoutedRequest run, long remainingNanos, OptionalLong hedgeNanos) {
-        long margin = Math.min(LONGEST_MARGIN.toNanos(), remainingNanos / MARGIN_FRACTION);
-        schedule(run, remainingNanos - margin, new RequestEvent.SendCutoffReached());
-        schedule(run, remainingNanos, new RequestEvent.DeadlinePassed());
-        if (IS_HEDGING && hedgeNanos.isPresent() && hedgeNanos.getAsLong() < remainingNanos) {
-            schedule(run, hedgeNanos.getAsLong(), new RequestEvent.HedgeDue());
+    /** Schedules the timers of a request; they are cancelled when its result is complete. */
+    void schedule(RoutedRequest request, long remainingNanos, OptionalLong hedgeNanos) {
+        long margin = Math.min(MAX_MARGIN.toNanos(), remainingNanos / MARGIN_DIVISOR);
+        schedule(request, remainingNanos - margin, new RequestEvent.SendCutoffReached());
+        schedule(request, remainingNanos, new RequestEvent.DeadlinePassed());
+        if (IS_HEDGING_ENABLED && hedgeNanos.isPresent() && hedgeNanos.getAsLong() < remainingNanos) {
+            schedule(request, hedgeNanos.getAsLong(), new RequestEvent.HedgeDue());
         }
     }
 
-    private void schedule(RoutedRequest run, long delayNanos, RequestEvent event) {
-        Future<?> timer = executor.schedule(() -> run.on(event), delayNanos, TimeUnit.NANOSECONDS);
-        var unused = run.result().thenAccept(result -> timer.cancel(false));
+    private void schedule(RoutedRequest request, long delayNanos, RequestEvent event) {
+        Future<?> timer = executor.schedule(() -> request.on(event), delayNanos, TimeUnit.NANOSECONDS);
+        var unused = request.result().thenAccept(result -> timer.cancel(false));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedPipeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedPipeline.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** Serves requests: claim, tries, answer. */
+/** Serves requests: obtains a claim where one is needed, then sends attempts and returns the answer. */
 final class RoutedPipeline implements RequestPipeline {
-    private static final Duration SHORTEST_HEDGE_DELAY = Duration.ofMillis(5);
+    private static final Duration MIN_HEDGE_DELAY = Duration.ofMillis(5);
 
     private final RoutingContext context;
     private final AttemptPolicies policies;
@@ -42,44 +42,44 @@
         if (remaining <= 0) {
             return CompletableFuture.completedFuture(RequestResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
         }
-        RoutedRequest run = newRun(request, now);
-        timers.schedule(run, remaining, hedgeNanos(request.route()));
+        RoutedRequest routed = newRoutedRequest(request, now);
+        timers.schedule(routed, remaining, hedgeNanos(request.route()));
         if (needsClaim(request)) {
-            var unused = claims.claim(request).thenAccept(verdict -> hear(verdict, run));
+            var unused = claims.claim(request).thenAccept(claimResult -> applyClaimResult(claimResult, routed));
         } else {
-            run.on(new RequestEvent.Started());
+            routed.on(new RequestEvent.Started());
         }
-        return run.result();
+        return routed.result();
     }
 
     private static boolean needsClaim(InboundRequest request) {
         return !request.route().idempotent() && request.idempotencyKey().isPresent();
     }
 
-    private RoutedRequest newRun(InboundRequest request, long now) {
+    private RoutedRequest newRoutedRequest(InboundRequest request, long now) {
         AttemptPolicy policy = policies.recordFirstAttempt(request.route().service(), now);
         RequestDecisions decisions = new RequestDecisions(request.route().idempotent(), policy);
-        return new RoutedRequest(request, decisions, context, settled -> settle(request, settled, now));
+        return new RoutedRequest(request, decisions, context, recorded -> recordOutcome(request, recorded, now));
     }
 
-    private static void hear(Claims.ClaimResult verdict, RoutedRequest run) {
-        if (verdict instanceof Claims.ClaimResult.Answered answered) {
-            run.answer(RequestResult.answered(answered.answer()));
-        } else if (verdict instanceof Claims.ClaimResult.Rejected rejected) {
-            run.answer(RequestResult.failed(rejected.error()));
+    private static void applyClaimResult(Claims.ClaimResult claimResult, RoutedRequest routed) {
+        if (claimResult instanceof Claims.ClaimResult.Answered answered) {
+            routed.answer(RequestResult.answered(answered.answer()));
+        } else if (claimResult instanceof Claims.ClaimResult.Rejected rejected) {
+            routed.answer(RequestResult.failed(rejected.error()));
         } else {
-            run.on(new RequestEvent.Started());
+            routed.on(new RequestEvent.Started());
         }
     }
 
-    private void settle(InboundRequest request, RequestAction.RecordOutcome settled, long startNanos) {
+    private void recordOutcome(InboundRequest request, RequestAction.RecordOutcome recorded, long startNanos) {
         if (needsClaim(request)) {
-            claims.complete(request, settled.outcome(), settled.answer());
+            claims.complete(request, recorded.outcome(), recorded.answer());
         }
-        if (settled.answer().isPresent()) {
+        if (recorded.answer().isPresent()) {
             record(request.route(), context.time().nanos() - startNanos);
         }
-        if (settled.outcome() == Outcome.UNKNOWN) {
+        if (recorded.outcome() == Outcome.UNKNOWN) {
             timeline.record(Timeline.Event.of(
                             "routing", "Outcome unknown of " + request.route().name())
                     .ofService(request.route().service())
@@ -100,10 +100,10 @@
             return OptionalLong.empty();
         }
         synchronized (latency) {
-            OptionalLong usual = latency.estimateNanos();
-            return usual.isEmpty()
-                    ? usual
-                    : OptionalLong.of(Math.max(usual.getAsLong(), SHORTEST_HEDGE_DELAY.toNanos()));
+            OptionalLong percentile = latency.estimateNanos();
+            return percentile.isEmpty()
+                    ? percentile
+                    : OptionalLong.of(Math.max(percentile.getAsLong(), MIN_HEDGE_DELAY.toNanos()));
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.ConcurrentMap;
 import java.util.function.Consumer;
 
-/** One request under way: feeds its decisions and carries out what they want. */
+/** One request in progress: passes events to its decisions and performs the actions that they return. */
 final class RoutedRequest {
     private final InboundRequest request;
     private final RequestDecisions decisions;
     private final RoutingContext context;
-    private final Consumer<RequestAction.RecordOutcome> onSettled;
+    private final Consumer<RequestAction.RecordOutcome> onOutcome;
     private final CompletableFuture<RequestResult> result = new CompletableFuture<>();
     private final ConcurrentMap<Integer, AttemptExchange> exchanges = new ConcurrentHashMap<>();
     private final Set<Integer> cancelled = ConcurrentHashMap.newKeySet();
@@ -33,23 +33,23 @@
             InboundRequest request,
             RequestDecisions decisions,
             RoutingContext context,
-            Consumer<RequestAction.RecordOutcome> onSettled) {
+            Consumer<RequestAction.RecordOutcome> onOutcome) {
         this.request = request;
         this.decisions = decisions;
         this.context = context;
-        this.onSettled = onSettled;
+        this.onOutcome = onOutcome;
     }
 
     CompletableFuture<RequestResult> result() {
         return result;
     }
 
-    /** Answers the caller without a try. */
+    /** Answers the caller without an attempt. */
     void answer(RequestResult answer) {
         result.complete(answer);
     }
 
-    /** Feeds one event to the decisions and carries out what they want. */
+    /** Passes one event to the decisions and performs the actions that they return. */
     void on(RequestEvent event) {
         List<RequestAction> actions;
         synchronized (decisions) {
@@ -65,8 +65,8 @@
             cancel(cancel.number());
         } else if (action instanceof RequestAction.AnswerCaller answer) {
             result.complete(answer.result());
-        } else if (action instanceof RequestAction.RecordOutcome settled) {
-            onSettled.accept(settled);
+        } else if (action instanceof RequestAction.RecordOutcome recorded) {
+            onOutcome.accept(recorded);
         }
     }
 
@@ -76,18 +76,18 @@
             on(new RequestEvent.AttemptEnded(send.number(), AttemptResult.failed(ErrorKind.OWNER_UNREACHABLE)));
             return;
         }
-        AttemptExchange exchange = context.owners().send(owners.get(send.candidate()), tryRequest(send));
+        AttemptExchange exchange = context.sender().send(owners.get(send.candidate()), attemptRequest(send));
         exchanges.put(send.number(), exchange);
         if (cancelled.contains(send.number())) {
             exchange.cancel();
         }
-        var unused = exchange.result().thenAccept(outcome -> end(send, outcome));
+        var unused = exchange.result().thenAccept(attemptResult -> end(send, attemptResult));
     }
 
-    private void end(RequestAction.SendAttempt send, AttemptResult outcome) {
+    private void end(RequestAction.SendAttempt send, AttemptResult attemptResult) {
         exchanges.remove(send.number());
-        context.loads().record(send.group(), outcome, context.time().nanos());
-        on(new RequestEvent.AttemptEnded(send.number(), outcome));
+        context.loads().record(send.group(), attemptResult, context.time().nanos());
+        on(new RequestEvent.AttemptEnded(send.number(), attemptResult));
     }
 
     private void cancel(int number) {
@@ -98,7 +98,7 @@
         }
     }
 
-    private AttemptRequest tryRequest(RequestAction.SendAttempt send) {
+    private AttemptRequest attemptRequest(RequestAction.SendAttempt send) {
         RouteSpec route = request.route();
         GroupName group = send.group();
         return new AttemptRequest(
@@ -116,6 +116,6 @@
                 request.deadlineNanos());
     }
 
-    /** The services that all requests use. */
-    record RoutingContext(AttemptSender owners, OwnerLookup lookup, GroupLoadCache loads, TimeSource time) {}
+    /** The services that all requests share. */
+    record RoutingContext(AttemptSender sender, OwnerLookup lookup, GroupLoadCache loads, TimeSource time) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
@@ -16,12 +16,12 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 
-/** Puts the pieces of the part together. */
+/** Creates and connects the objects of the routing component. */
 public final class Routing implements RequestPipeline, AutoCloseable {
     private final RequestTimers timers = new RequestTimers();
     private volatile RequestPipeline pipeline;
 
-    /** Looks up the services of other parts. */
+    /** Looks up the services of other components. */
     public void start(ComponentRegistry registry) {
         TimeSource time = registry.require(TimeSource.NAME);
         OwnerLookup lookup = new OwnerLookup(registry.require(FleetView.Source.NAME));
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/ServiceGroups.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/ServiceGroups.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** Remembers the server groups of services for as long as the configuration stays. Safe for use by several threads. */
+/** Caches the server groups of services until the configuration changes. Safe for use by several threads. */
 final class ServiceGroups {
     private final Configuration.Source source;
     private volatile Table table;
@@ -20,12 +20,12 @@
     /** Returns the groups of the service, one for each data centre with servers of it. */
     List<GroupName> of(String service) {
         Configuration current = source.current();
-        Table present = table;
-        if (present.configuration != current) {
-            present = new Table(current);
-            table = present;
+        Table cached = table;
+        if (cached.configuration != current) {
+            cached = new Table(current);
+            table = cached;
         }
-        return present.groups.computeIfAbsent(service, key -> groups(current, key));
+        return cached.groups.computeIfAbsent(service, key -> groups(current, key));
     }
 
     private static List<GroupName> groups(Configuration configuration, String service) {
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/package-info.java
@@ -1,2 +1,2 @@
-/** The way of one request: pure decisions on its tries, and the objects that carry them out. */
+/** The lifecycle of a request: pure decisions on its attempts, and the objects that perform them. */
 package io.coppershelf.routing.internal;
--- a/coppershelf/src/main/java/io/coppershelf/routing/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/package-info.java
@@ -1,2 +1,5 @@
-/** Takes a request from receipt to answer: route, deadline, claim, choice of the owner, forward, retry. */
+/**
+ * Serves requests from receipt to answer: route, deadline, claim, selection of the server group, forwarding and
+ * retries.
+ */
 package io.coppershelf.routing;
--- a/coppershelf/src/test/java/io/coppershelf/routing/internal/GroupChoiceTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/routing/internal/GroupSelectorTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class GroupChoiceTest {
+class GroupSelectorTest {
     private static final GroupName HERNING = new GroupName("rotavis", "herning");
     private static final GroupName VIBORG = new GroupName("rotavis", "viborg");
     private static final GroupName ODENSE = new GroupName("rotavis", "odense");
@@ -24,22 +24,23 @@
     @ParameterizedTest
     @CsvSource({"0, 0, herning", "5, 5, herning", "6, 5, viborg", "1, 0, viborg"})
     void prefersOwnDataCentreUnlessItsWaitIsWorse(long here, long there, String expected) {
-        GroupSelector choice = new GroupSelector("herning", new Random(1));
+        GroupSelector selector = new GroupSelector("herning", new Random(1));
 
-        Optional<GroupName> chosen =
-                choice.select(List.of(VIBORG, HERNING), group -> group.equals(HERNING) ? here : there);
+        Optional<GroupName> selected =
+                selector.select(List.of(VIBORG, HERNING), group -> group.equals(HERNING) ? here : there);
 
-        assertThat(chosen.map(GroupName::dataCentre)).hasValue(expected);
+        assertThat(selected.map(GroupName::dataCentre)).hasValue(expected);
     }
 
     @Test
-    void neverChoosesTheWorstOfThreeAndSpreadsOverTheOthers() {
-        GroupSelector choice = new GroupSelector("vejle", new Random(1));
+    void neverSelectsTheWorstOfThreeAndSpreadsOverTheOthers() {
+        GroupSelector selector = new GroupSelector("vejle", new Random(1));
         Map<GroupName, Integer> counts = new HashMap<>();
         for (int i = 0; i < 1_000; i++) {
-            GroupName chosen = choice.select(List.of(HERNING, VIBORG, ODENSE), group -> group.equals(ODENSE) ? 9 : 0)
+            GroupName selected = selector.select(
+                            List.of(HERNING, VIBORG, ODENSE), group -> group.equals(ODENSE) ? 9 : 0)
                     .orElseThrow();
-            counts.merge(chosen, 1, Integer::sum);
+            counts.merge(selected, 1, Integer::sum);
         }
 
         assertThat(counts.keySet()).containsExactly(HERNING, VIBORG);
@@ -48,13 +49,13 @@
     }
 
     @Test
-    void choosesNothingWithoutCandidate() {
+    void selectsNothingWithoutCandidate() {
         assertThat(new GroupSelector("vejle", new Random(1)).select(List.of(), group -> 0))
                 .isEmpty();
     }
 
     @Test
-    void forgetsLoadsAfterASecond() {
+    void expiresLoadsAfterASecond() {
         GroupLoadCache loads = new GroupLoadCache();
         AttemptResult full = AttemptResult.failed(ErrorKind.SERVER_LOST).withLoad(new GroupLoad(0, 7_000_000));
         loads.record(HERNING, full, 0);
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void boundsRetriesToATenthOfFirstTries() {
+    void limitsRetriesToATenthOfFirstAttempts() {
         ServiceRetryBudget budget = new ServiceRetryBudget();
         int spent = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -83,15 +84,15 @@
     }
 
     @Test
-    void findsUsualLatency() {
-        LatencyPercentile usual = new LatencyPercentile();
+    void estimatesTheLatencyPercentile() {
+        LatencyPercentile percentile = new LatencyPercentile();
         Random random = new Random(3);
-        assertThat(usual.estimateNanos()).isEmpty();
+        assertThat(percentile.estimateNanos()).isEmpty();
         for (int i = 0; i < 20_000; i++) {
-            usual.record(1_000_000 + random.nextInt(9_000_000));
+            percentile.record(1_000_000 + random.nextInt(9_000_000));
         }
 
-        assertThat(usual.estimateNanos().orElseThrow()).isGreaterThan(8_000_000);
-        assertThat(usual.estimateNanos().orElseThrow()).isLessThan(10_500_000);
+        assertThat(percentile.estimateNanos().orElseThrow()).isGreaterThan(8_000_000);
+        assertThat(percentile.estimateNanos().orElseThrow()).isLessThan(10_500_000);
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/routing/internal/RequestDecisionsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/routing/internal/RequestDecisionsTest.java
@@ -54,30 +54,30 @@
         return decisions;
     }
 
-    private static List<RequestAction> told(ErrorKind error) {
+    private static List<RequestAction> answerAndOutcome(ErrorKind error) {
         return List.of(
                 new AnswerCaller(RequestResult.failed(error)), new RecordOutcome(error.outcome(), Optional.empty()));
     }
 
-    private static final List<RequestAction> TOLD_ANSWER = List.of(
+    private static final List<RequestAction> ANSWER_AND_OUTCOME = List.of(
             new AnswerCaller(RequestResult.answered(ANSWER)), new RecordOutcome(Outcome.RUN, Optional.of(ANSWER)));
 
     @Test
     void answersCallerWithServersAnswer() {
-        assertThat(started(false).on(answered(1))).isEqualTo(TOLD_ANSWER);
+        assertThat(started(false).on(answered(1))).isEqualTo(ANSWER_AND_OUTCOME);
     }
 
     @ParameterizedTest
     @EnumSource
-    void neverSendsNonIdempotentWorkAgainWithoutProof(ErrorKind error) {
+    void neverRetriesNonIdempotentRequestWithoutProofThatItDidNotRun(ErrorKind error) {
         List<RequestAction> actions = started(false).on(ended(1, error));
 
-        boolean isSentAgain = actions.stream().anyMatch(SendAttempt.class::isInstance);
+        boolean isRetried = actions.stream().anyMatch(SendAttempt.class::isInstance);
         assertWithMessage("sent again after %s", error)
-                .that(isSentAgain && error.outcome() != Outcome.NOT_RUN)
+                .that(isRetried && error.outcome() != Outcome.NOT_RUN)
                 .isFalse();
-        if (!isSentAgain) {
-            assertThat(actions).isEqualTo(told(error));
+        if (!isRetried) {
+            assertThat(actions).isEqualTo(answerAndOutcome(error));
         }
     }
 
@@ -95,7 +95,7 @@
         "true, OWNER_LOST, viborg, 0, 4",
         "true, DEADLINE_PASSED, viborg, 0, 4",
     })
-    void triesElsewhereWithinBudget(
+    void retriesElsewhereWithinBudget(
             boolean isIdempotent, ErrorKind error, String dataCentre, int candidate, int budgetLeft) {
         List<RequestAction> actions = started(isIdempotent).on(ended(1, error));
 
@@ -106,25 +106,25 @@
 
     @ParameterizedTest
     @CsvSource({"false, OVERLOADED", "false, SERVER_REFUSED", "true, SERVER_LOST", "true, OWNER_LOST"})
-    void triesNoMoreWithoutBudget(boolean isIdempotent, ErrorKind error) {
+    void doesNotRetryWithoutBudget(boolean isIdempotent, ErrorKind error) {
         policy.budget = 0;
 
-        assertThat(started(isIdempotent).on(ended(1, error))).isEqualTo(told(error));
+        assertThat(started(isIdempotent).on(ended(1, error))).isEqualTo(answerAndOutcome(error));
     }
 
     @Test
-    void triesSameGroupAgainIfThereIsNoOtherUnlessItIsOverloaded() {
+    void retriesInTheSameGroupIfThereIsNoOtherUnlessItIsOverloaded() {
         policy.groups = List.of(HERE);
 
         assertThat(started(false).on(ended(1, ErrorKind.SERVER_REFUSED)))
                 .containsExactly(new SendAttempt(2, HERE, 0, false));
         assertThat(started(true).on(ended(1, ErrorKind.OWNER_LOST)))
                 .containsExactly(new SendAttempt(2, HERE, 1, false));
-        assertThat(started(false).on(ended(1, ErrorKind.OVERLOADED))).isEqualTo(told(ErrorKind.OVERLOADED));
+        assertThat(started(false).on(ended(1, ErrorKind.OVERLOADED))).isEqualTo(answerAndOutcome(ErrorKind.OVERLOADED));
     }
 
     @Test
-    void givesUpAfterAllOwnersOfAllGroups() {
+    void failsOnceAllOwnersOfAllGroupsAreUnreachable() {
         RequestDecisions decisions = started(false);
         List<SendAttempt> sent = new ArrayList<>();
         List<RequestAction> actions = List.of();
@@ -139,19 +139,20 @@
         assertThat(sent.stream().map(send -> send.group().dataCentre() + send.candidate()))
                 .containsExactly("herning1", "herning2", "viborg0", "viborg1", "viborg2")
                 .inOrder();
-        assertThat(actions).isEqualTo(told(ErrorKind.OWNER_UNREACHABLE));
+        assertThat(actions).isEqualTo(answerAndOutcome(ErrorKind.OWNER_UNREACHABLE));
     }
 
     @Test
-    void tellsUnknownOnceAnyTryMayHaveRun() {
+    void answersUnknownOnceAnyAttemptMayHaveRun() {
         RequestDecisions decisions = started(true);
         assertThat(decisions.on(ended(1, ErrorKind.SERVER_LOST))).hasSize(1);
 
-        assertThat(decisions.on(ended(2, ErrorKind.DEADLINE_BEFORE_RUN))).isEqualTo(told(ErrorKind.SERVER_LOST));
+        assertThat(decisions.on(ended(2, ErrorKind.DEADLINE_BEFORE_RUN)))
+                .isEqualTo(answerAndOutcome(ErrorKind.SERVER_LOST));
     }
 
     @Test
-    void passesRetryTimeOfOwnerOn() {
+    void returnsRetryTimeOfTheOwner() {
         policy.groups = List.of(HERE);
         Duration retryAfter = Duration.ofSeconds(7);
 
@@ -165,44 +166,45 @@
     void refusesServiceWithoutServers() {
         policy.groups = List.of();
 
-        assertThat(new RequestDecisions(false, policy).on(new Started())).isEqualTo(told(ErrorKind.NO_SERVER));
+        assertThat(new RequestDecisions(false, policy).on(new Started()))
+                .isEqualTo(answerAndOutcome(ErrorKind.NO_SERVER));
     }
 
     @Test
-    void hedgesIdempotentWorkElsewhereAndCancelsTheSlowerTry() {
+    void hedgesIdempotentRequestElsewhereAndCancelsTheSlowerAttempt() {
         RequestDecisions decisions = started(true);
 
         assertThat(decisions.on(new HedgeDue())).containsExactly(new SendAttempt(2, THERE, 0, true));
         assertThat(decisions.on(new HedgeDue())).isEmpty();
         assertThat(decisions.on(answered(2)))
-                .containsExactly(TOLD_ANSWER.get(0), new CancelAttempt(1), TOLD_ANSWER.get(1))
+                .containsExactly(ANSWER_AND_OUTCOME.get(0), new CancelAttempt(1), ANSWER_AND_OUTCOME.get(1))
                 .inOrder();
         assertThat(decisions.on(answered(1))).isEmpty();
     }
 
     @Test
-    void hedgesNeitherNonIdempotentWorkNorWithoutBudget() {
+    void hedgesNeitherNonIdempotentRequestNorWithoutBudget() {
         assertThat(started(false).on(new HedgeDue())).isEmpty();
         policy.budget = 0;
         assertThat(started(true).on(new HedgeDue())).isEmpty();
     }
 
     @Test
-    void waitsForFirstTryIfHedgeIsRefused() {
+    void waitsForFirstAttemptIfHedgeIsRefused() {
         RequestDecisions decisions = started(true);
         assertThat(decisions.on(new HedgeDue())).hasSize(1);
 
         assertThat(decisions.on(ended(2, ErrorKind.OVERLOADED))).isEmpty();
-        assertThat(decisions.on(answered(1))).isEqualTo(TOLD_ANSWER);
+        assertThat(decisions.on(answered(1))).isEqualTo(ANSWER_AND_OUTCOME);
     }
 
     @ParameterizedTest
     @CsvSource({"DEADLINE_BEFORE_RUN", "OVERLOADED"})
-    void tellsNotRunIfCancelledTryIsProvedNotRun(ErrorKind proof) {
+    void answersNotRunIfCancelledAttemptProvablyDidNotRun(ErrorKind proof) {
         RequestDecisions decisions = started(false);
 
         assertThat(decisions.on(new SendCutoffReached())).containsExactly(new CancelAttempt(1));
-        assertThat(decisions.on(ended(1, proof))).isEqualTo(told(ErrorKind.DEADLINE_BEFORE_RUN));
+        assertThat(decisions.on(ended(1, proof))).isEqualTo(answerAndOutcome(ErrorKind.DEADLINE_BEFORE_RUN));
         assertThat(decisions.on(new DeadlinePassed())).isEmpty();
     }
 
@@ -212,19 +214,19 @@
 
     @ParameterizedTest
     @MethodSource("lateEnds")
-    void tellsUnknownAtDeadlineAndSettlesWithTheTruthLater(AttemptEnded late) {
+    void answersUnknownAtDeadlineAndRecordsTheActualOutcomeLater(AttemptEnded late) {
         RequestDecisions decisions = started(false);
         assertThat(decisions.on(new SendCutoffReached())).hasSize(1);
 
         assertThat(decisions.on(new DeadlinePassed()))
                 .containsExactly(new AnswerCaller(RequestResult.failed(ErrorKind.DEADLINE_PASSED)));
-        Outcome truth = late.result().error().map(ErrorKind::outcome).orElse(Outcome.RUN);
+        Outcome actual = late.result().error().map(ErrorKind::outcome).orElse(Outcome.RUN);
         assertThat(decisions.on(late))
-                .containsExactly(new RecordOutcome(truth, late.result().answer()));
+                .containsExactly(new RecordOutcome(actual, late.result().answer()));
     }
 
     @Test
-    void sendsNothingIfClaimComesAfterDeadline() {
+    void sendsNothingIfClaimIsGrantedAfterDeadline() {
         RequestDecisions decisions = new RequestDecisions(false, policy);
 
         assertThat(decisions.on(new SendCutoffReached())).isEmpty();
@@ -238,18 +240,18 @@
     }
 
     @Test
-    void keepsItsPromisesUnderAnyOrderOfEvents() {
+    void keepsItsInvariantsUnderAnyOrderOfEvents() {
         seeds().forEach(seed -> RandomHistory.play(seed, new FakePolicy()));
     }
 
-    /** Plays random ends of tries and timers, and checks what must always hold. */
+    /** Plays random ends of attempts and timers, and checks the invariants of the decisions. */
     private static final class RandomHistory {
         private final Random random;
         private final boolean isIdempotent;
-        private final List<Integer> open = new ArrayList<>();
+        private final List<Integer> inFlight = new ArrayList<>();
         private boolean mayHaveRun;
         private int answers;
-        private int settles;
+        private int outcomes;
 
         private RandomHistory(int seed) {
             random = new Random(seed);
@@ -259,16 +261,16 @@
         static void play(int seed, FakePolicy policy) {
             RandomHistory history = new RandomHistory(seed);
             RequestDecisions decisions = new RequestDecisions(history.isIdempotent, policy);
-            history.take(decisions.on(new Started()));
+            history.check(decisions.on(new Started()));
             for (int step = 0; step < 12; step++) {
-                history.take(decisions.on(history.event()));
+                history.check(decisions.on(history.event()));
             }
-            history.take(decisions.on(new DeadlinePassed()));
-            while (!history.open.isEmpty()) {
-                history.take(decisions.on(history.end()));
+            history.check(decisions.on(new DeadlinePassed()));
+            while (!history.inFlight.isEmpty()) {
+                history.check(decisions.on(history.end()));
             }
             assertWithMessage("answers, seed %s", seed).that(history.answers).isEqualTo(1);
-            assertWithMessage("settles, seed %s", seed).that(history.settles).isEqualTo(1);
+            assertWithMessage("outcomes, seed %s", seed).that(history.outcomes).isEqualTo(1);
         }
 
         private RequestEvent event() {
@@ -280,10 +282,10 @@
         }
 
         private RequestEvent end() {
-            if (open.isEmpty()) {
+            if (inFlight.isEmpty()) {
                 return new HedgeDue();
             }
-            int number = open.remove(random.nextInt(open.size()));
+            int number = inFlight.remove(random.nextInt(inFlight.size()));
             ErrorKind[] kinds = ErrorKind.values();
             int roll = random.nextInt(kinds.length + 3);
             if (roll >= kinds.length) {
@@ -294,27 +296,28 @@
             return ended(number, kinds[roll]);
         }
 
-        private void take(List<RequestAction> actions) {
+        private void check(List<RequestAction> actions) {
             for (RequestAction action : actions) {
                 if (action instanceof SendAttempt send) {
-                    assertThat(isIdempotent || (open.isEmpty() && !mayHaveRun)).isTrue();
-                    open.add(send.number());
+                    assertThat(isIdempotent || (inFlight.isEmpty() && !mayHaveRun))
+                            .isTrue();
+                    inFlight.add(send.number());
                 } else if (action instanceof AnswerCaller answer) {
                     answers++;
-                    checkTruth(answer.result());
-                } else if (action instanceof RecordOutcome settle) {
-                    settles++;
-                    assertThat(settle.outcome() == Outcome.NOT_RUN && mayHaveRun)
+                    checkAnswer(answer.result());
+                } else if (action instanceof RecordOutcome recorded) {
+                    outcomes++;
+                    assertThat(recorded.outcome() == Outcome.NOT_RUN && mayHaveRun)
                             .isFalse();
                 }
             }
         }
 
-        private void checkTruth(RequestResult result) {
-            boolean isToldNotRun = result.error()
+        private void checkAnswer(RequestResult result) {
+            boolean isAnsweredNotRun = result.error()
                     .filter(error -> error.outcome() == Outcome.NOT_RUN)
                     .isPresent();
-            assertThat(isToldNotRun && (mayHaveRun || !open.isEmpty())).isFalse();
+            assertThat(isAnsweredNotRun && (mayHaveRun || !inFlight.isEmpty())).isFalse();
         }
     }
 
