--- a/coppershelf/src/main/java/io/coppershelf/floor/CandidacyScan.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/CandidacyScan.java
@@ -5,26 +5,26 @@
 import java.util.List;
 
 /**
- * Goes through the services a few at a time after each change of the fleet or the configuration, so that a daemon finds
- * out of which services it should be the granter without ranking all of them at once.
+ * Iterates over the services in small batches after each change of the fleet or the configuration, so that a daemon
+ * finds the services of which it should be the granter without ranking the VMs for all of them in one tick.
  */
 final class CandidacyScan {
-    private static final int RANKED_VMS_PER_TICK = 10_000;
+    private static final int MAX_RANKED_VMS_PER_TICK = 10_000;
 
     private int position;
 
-    /** Begins again. */
+    /** Restarts at the first service. */
     void restart() {
         position = 0;
     }
 
-    /** Returns the next services to look at. */
+    /** Returns the names of the next batch of services, an empty list at the end. */
     List<String> nextServices(Configuration configuration, int vms) {
         List<ServiceSpec> services = configuration.services();
         if (position >= services.size()) {
             return List.of();
         }
-        int count = Math.max(1, RANKED_VMS_PER_TICK / Math.max(1, vms));
+        int count = Math.max(1, MAX_RANKED_VMS_PER_TICK / Math.max(1, vms));
         int end = Math.min(services.size(), position + count);
         List<String> names =
                 services.subList(position, end).stream().map(ServiceSpec::name).toList();
--- a/coppershelf/src/main/java/io/coppershelf/floor/EjectionGrants.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/EjectionGrants.java
@@ -2,28 +2,35 @@
 
 import io.coppershelf.component.ComponentKey;
 
-/** Where the owner of a server group asks for the right to eject. Safe for use by several threads. */
+/**
+ * Requests grants to eject servers; the owner of a server group needs one for each server that it ejects. A grant is
+ * the right to eject one server for a limited time. Safe for use by several threads.
+ */
 public interface EjectionGrants {
     ComponentKey<EjectionGrants> NAME = ComponentKey.named("floor", EjectionGrants.class);
 
-    /** Asks for the right to eject the server, or renews it; the listener hears the verdict. */
+    /** Requests a grant to eject the server, or renews it; the result goes to the listener. */
     void request(String service, String server, Listener listener);
 
-    /** Gives the right back. */
+    /** Releases the grant. */
     void release(String service, String server);
 
-    /** Tells that a server is out of service for another reason than ejection: draining, leaving or cold. */
+    /**
+     * Reports whether a server is out of service for another reason than ejection: draining, leaving or cold.
+     *
+     * @param out whether it is out of service
+     */
     void reportOutOfService(String service, String server, boolean out);
 
-    /** Hears verdicts, on any thread. */
+    /** Receives the results of requests, on any thread. */
     interface Listener {
-        /** The right holds until the given monotonic time. */
+        /** The grant is valid until the given monotonic time. */
         void granted(String server, long untilNanos);
 
-        /** There is no right. */
+        /** The request was refused, or no granter replied. */
         void refused(String server);
 
-        /** The right ended early. */
+        /** The grant ended: it was revoked, its renewal was refused, or it expired. */
         void revoked(String server);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/floor/FloorComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/FloorComponent.java
@@ -21,12 +21,12 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Drives the floor's state machine on the control thread and offers the ejection rights. */
+/** Runs the floor protocol's state machine on the control thread and provides the ejection grants. */
 public final class FloorComponent implements Component, EjectionGrants {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
-    private final Map<RightKey, Listener> listeners = new ConcurrentHashMap<>();
+    private final Map<GrantKey, Listener> listeners = new ConcurrentHashMap<>();
     private final CandidacyScan scan = new CandidacyScan();
     private ControlThread control;
     private TimeSource time;
@@ -55,28 +55,28 @@
         configurations = registry.require(Configuration.Source.NAME);
         timeline = registry.find(Timeline.NAME);
         node = new FloorNode(fleet.current(), configurations.current(), time.nanos());
-        FloorCodecs.all().forEach(this::accept);
+        FloorCodecs.all().forEach(this::register);
         fleet.onChange(this::onFleet);
         configurations.onChange(this::onConfiguration);
-        control.every(TICK, this::onTick);
-        registry.find(OperatorRegistry.NAME).ifPresent(this::describe);
-        logger.atInfo().log("[floor] Started; votes after one lease.");
+        control.every(TICK_INTERVAL, this::onTick);
+        registry.find(OperatorRegistry.NAME).ifPresent(this::registerStatus);
+        logger.atInfo().log("[floor] Started; this VM votes after one lease duration.");
     }
 
     @Override
     public void stop(Duration limit) {
-        logger.atInfo().log("[floor] Stopped; rights end by time.");
+        logger.atInfo().log("[floor] Stopped; the grants of this VM expire.");
     }
 
     @Override
     public void request(String service, String server, Listener listener) {
-        listeners.put(new RightKey(service, server), listener);
+        listeners.put(new GrantKey(service, server), listener);
         control.execute(() -> perform(node.request(service, server, time.nanos())));
     }
 
     @Override
     public void release(String service, String server) {
-        listeners.remove(new RightKey(service, server));
+        listeners.remove(new GrantKey(service, server));
         control.execute(() -> perform(node.release(service, server)));
     }
 
@@ -85,7 +85,7 @@
         control.execute(() -> perform(node.reportOutOfService(service, server, out, time.nanos())));
     }
 
-    private <T extends FloorMessage> void accept(PeerMessageCodec<T> codec) {
+    private <T extends FloorMessage> void register(PeerMessageCodec<T> codec) {
         peers.register(codec, (sender, message, replies) -> control.execute(() -> onMessage(sender, message)));
     }
 
@@ -143,21 +143,21 @@
     }
 
     private Optional<Listener> listener(String service, String server) {
-        return Optional.ofNullable(listeners.get(new RightKey(service, server)));
+        return Optional.ofNullable(listeners.get(new GrantKey(service, server)));
     }
 
     private void record(FloorAction.Revoked revoked) {
-        logger.atInfo().log("[floor] The right to eject %s ended early.", revoked.server());
-        timeline.ifPresent(line -> line.record(Timeline.Event.of("floor", "right to eject ended early")
+        logger.atInfo().log("[floor] The grant to eject %s ended early.", revoked.server());
+        timeline.ifPresent(events -> events.record(Timeline.Event.of("floor", "right to eject ended early")
                 .ofService(revoked.service())
                 .ofServer(revoked.server())));
     }
 
-    private void describe(OperatorRegistry desk) {
+    private void registerStatus(OperatorRegistry operators) {
         FloorStatus status = new FloorStatus();
         control.every(Duration.ofSeconds(1), () -> status.update(node, time.nanos()));
-        desk.addStatus(status);
+        operators.addStatus(status);
     }
 
-    private record RightKey(String service, String server) {}
+    private record GrantKey(String service, String server) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/floor/FloorStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/FloorStatus.java
@@ -5,7 +5,7 @@
 import io.coppershelf.operator.StatusContributor;
 import java.util.List;
 
-/** What operators see of the ejection rights: a snapshot that the control thread renews. */
+/** Shows the ejection grants to operators, from a snapshot that the control thread refreshes. */
 final class FloorStatus implements StatusContributor {
     private volatile Snapshot snapshot = new Snapshot(List.of(), 0);
 
@@ -18,8 +18,8 @@
         Snapshot now = snapshot;
         ObjectNode floor = status.putObject("floor");
         now.granterOf().forEach(floor.putArray("granterOf")::add);
-        floor.put("liveRights", now.liveRights());
+        floor.put("liveRights", now.liveGrants());
     }
 
-    private record Snapshot(List<String> granterOf, long liveRights) {}
+    private record Snapshot(List<String> granterOf, long liveGrants) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorAction.java
@@ -1,16 +1,16 @@
 package io.coppershelf.floor.internal;
 
-/** What the floor's state machines want done. */
+/** An action that a state machine of the floor protocol returns for its caller to carry out. */
 public sealed interface FloorAction {
     /** Send the message to the VM. */
     record Send(String target, FloorMessage message) implements FloorAction {}
 
-    /** Tell the listener of the server that the right holds until the given time. */
+    /** Notify the listener of the server that the grant is valid until the given time. */
     record Granted(String service, String server, long untilNanos) implements FloorAction {}
 
-    /** Tell the listener of the server that there is no right. */
+    /** Notify the listener of the server that the request was refused. */
     record Refused(String service, String server) implements FloorAction {}
 
-    /** Tell the listener of the server that the right ended early. */
+    /** Notify the listener of the server that the grant ended. */
     record Revoked(String service, String server) implements FloorAction {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
@@ -17,16 +17,22 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The codecs of the floor's messages, types 80 to 86. */
+/** The codecs of the floor protocol's messages, types 80 to 86. */
 public final class FloorCodecs {
-    private static final int LONGEST_LIST = 10_000;
+    private static final int MAX_LIST_ENTRIES = 10_000;
 
     private FloorCodecs() {}
 
     /** Returns all codecs. */
     public static List<PeerMessageCodec<? extends FloorMessage>> all() {
         return List.of(
-                voteRequest(), voteReply(), rightRequest(), rightReply(), rightRelease(), rightRevoked(), outReport());
+                voteRequest(),
+                voteReply(),
+                grantRequest(),
+                grantReply(),
+                grantRelease(),
+                grantRevocation(),
+                outOfServiceReport());
     }
 
     private static PeerMessageCodec<VoteRequest> voteRequest() {
@@ -51,7 +57,7 @@
                 in -> new VoteReply(in.unpackString(), in.unpackLong(), in.unpackLong(), in.unpackBoolean()));
     }
 
-    private static PeerMessageCodec<GrantRequest> rightRequest() {
+    private static PeerMessageCodec<GrantRequest> grantRequest() {
         return new FunctionCodec<>(
                 82,
                 GrantRequest.class,
@@ -70,20 +76,20 @@
                         in.unpackInt()));
     }
 
-    private static PeerMessageCodec<GrantReply> rightReply() {
+    private static PeerMessageCodec<GrantReply> grantReply() {
         return new FunctionCodec<>(
                 83,
                 GrantReply.class,
                 (m, out) -> out.packString(m.service())
                         .packString(m.server())
                         .packLong(m.sequence())
-                        .packString(m.verdict().name())
+                        .packString(m.result().name())
                         .packString(m.granter()),
                 in -> new GrantReply(
-                        in.unpackString(), in.unpackString(), in.unpackLong(), readVerdict(in), in.unpackString()));
+                        in.unpackString(), in.unpackString(), in.unpackLong(), readResult(in), in.unpackString()));
     }
 
-    private static PeerMessageCodec<GrantRelease> rightRelease() {
+    private static PeerMessageCodec<GrantRelease> grantRelease() {
         return new FunctionCodec<>(
                 84,
                 GrantRelease.class,
@@ -91,7 +97,7 @@
                 in -> new GrantRelease(in.unpackString(), in.unpackString(), in.unpackLong()));
     }
 
-    private static PeerMessageCodec<GrantRevocation> rightRevoked() {
+    private static PeerMessageCodec<GrantRevocation> grantRevocation() {
         return new FunctionCodec<>(
                 85,
                 GrantRevocation.class,
@@ -99,7 +105,7 @@
                 in -> new GrantRevocation(in.unpackString(), in.unpackString()));
     }
 
-    private static PeerMessageCodec<OutOfServiceReport> outReport() {
+    private static PeerMessageCodec<OutOfServiceReport> outOfServiceReport() {
         return new FunctionCodec<>(
                 86,
                 OutOfServiceReport.class,
@@ -110,13 +116,13 @@
                 in -> new OutOfServiceReport(in.unpackString(), readStrings(in)));
     }
 
-    private static GrantResult readVerdict(MessageUnpacker in) throws IOException {
+    private static GrantResult readResult(MessageUnpacker in) throws IOException {
         String name = in.unpackString();
         return Arrays.stream(GrantResult.values())
-                .filter(verdict -> verdict.name().equals(name))
+                .filter(result -> result.name().equals(name))
                 .findFirst()
                 .orElseThrow(() -> new IOException(
-                        "verdict \"" + name + "\", expected one of " + Arrays.toString(GrantResult.values())));
+                        "grant result \"" + name + "\", expected one of " + Arrays.toString(GrantResult.values())));
     }
 
     private static void writeStrings(List<String> strings, MessagePacker out) throws IOException {
@@ -128,8 +134,8 @@
 
     private static List<String> readStrings(MessageUnpacker in) throws IOException {
         int size = in.unpackArrayHeader();
-        if (size > LONGEST_LIST) {
-            throw new IOException("list of " + size + " entries, expected at most " + LONGEST_LIST);
+        if (size > MAX_LIST_ENTRIES) {
+            throw new IOException("list of " + size + " entries, expected at most " + MAX_LIST_ENTRIES);
         }
         List<String> strings = new ArrayList<>();
         for (int i = 0; i < size; i++) {
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
@@ -19,22 +19,22 @@
 import java.util.TreeMap;
 
 /**
- * All of one VM's part in the floor's protocol as one state machine: voter, granter and holder. Events and the time in,
- * actions out.
+ * The floor protocol's state machine on one VM, which is voter, granter and holder of grants at once. Each method takes
+ * an event and the time, and returns the actions to carry out.
  */
 public final class FloorNode {
     private final String self;
     private final long incarnation;
     private final LeaseVoter voter;
     private final GrantHolder holder;
-    private final OutOfServiceReports outReports = new OutOfServiceReports();
+    private final OutOfServiceReports outOfServiceReports = new OutOfServiceReports();
     private final Map<String, Granter> granters = new TreeMap<>();
     private final Map<String, VoterSet> voterSets = new HashMap<>();
     private FleetView view;
     private Configuration configuration;
     private long lastTickNanos;
 
-    /** Returns the state machine of a VM that starts now. */
+    /** Creates the state machine of a VM that starts now. */
     public FloorNode(FleetView view, Configuration configuration, long nowNanos) {
         this.view = view;
         this.configuration = configuration;
@@ -45,7 +45,7 @@
         this.lastTickNanos = nowNanos;
     }
 
-    /** Takes over a view of the fleet. */
+    /** Applies a view of the fleet. */
     public void onFleet(FleetView now, long nowNanos) {
         view = now;
         List<String> known = List.copyOf(voterSets.keySet());
@@ -56,7 +56,7 @@
         granters.forEach((service, granter) -> granter.lease().changeVoters(voters(service)));
     }
 
-    /** Takes over a configuration: rights beyond the new allowance end at once. */
+    /** Applies a configuration; grants beyond the new allowance end at once. */
     public List<FloorAction> onConfiguration(Configuration now, long nowNanos) {
         configuration = now;
         List<FloorAction> actions = new ArrayList<>(holder.onRules(this::rules, this::voters));
@@ -68,22 +68,22 @@
         return actions;
     }
 
-    /** Asks for the right to eject the server, or renews it. */
+    /** Requests a grant to eject the server, or its renewal. */
     public List<FloorAction> request(String service, String server, long nowNanos) {
         return holder.request(service, server, voters(service), rules(service), nowNanos);
     }
 
-    /** Gives the right back. */
+    /** Releases the grant. */
     public List<FloorAction> release(String service, String server) {
         return holder.release(service, server, voters(service));
     }
 
-    /** Tells that a server is out of service for another reason than ejection. */
+    /** Reports whether a server is out of service for another reason than ejection. */
     public List<FloorAction> reportOutOfService(String service, String server, boolean out, long nowNanos) {
-        return outReports.change(service, server, out, voters(service), nowNanos);
+        return outOfServiceReports.change(service, server, out, voters(service), nowNanos);
     }
 
-    /** Makes this VM a candidate for granter of the service, if it is the best-ranked voter that answers. */
+    /** Makes this VM a candidate for granter of the service if it is the best-ranked reachable voter. */
     public void becomeCandidateIfBestRanked(String service) {
         VoterSet voters = voters(service);
         if (voters.isLargeEnough() && isFirstReachable(voters)) {
@@ -101,13 +101,13 @@
             return List.of();
         }
         if (message instanceof GrantRequest request) {
-            return onRightRequest(sender, request, nowNanos);
+            return onGrantRequest(sender, request, nowNanos);
         }
         if (message instanceof GrantReply reply) {
             return holder.onReply(sender, reply, nowNanos);
         }
-        if (message instanceof GrantRevocation revoked) {
-            return holder.onRevoked(revoked.service(), revoked.server(), voters(revoked.service()));
+        if (message instanceof GrantRevocation revocation) {
+            return holder.onRevoked(revocation.service(), revocation.server(), voters(revocation.service()));
         }
         if (message instanceof GrantRelease release) {
             granter(release.service()).onRelease(sender, release);
@@ -118,26 +118,26 @@
         return List.of();
     }
 
-    /** Lets time pass; due at least every 500 ms. */
+    /** Handles timeouts and renewals; must be called at least every 500 ms. */
     public List<FloorAction> onTick(long nowNanos) {
-        if (nowNanos - lastTickNanos >= FloorTiming.PAUSE_LIMIT.toNanos()) {
+        if (nowNanos - lastTickNanos >= FloorTiming.PAUSE_THRESHOLD.toNanos()) {
             voter.abstain(nowNanos);
-            granters.values().forEach(granter -> granter.lease().drop());
+            granters.values().forEach(granter -> granter.lease().reset());
         }
         lastTickNanos = nowNanos;
         List<FloorAction> actions = new ArrayList<>(holder.onTick(this::voters, nowNanos));
-        actions.addAll(outReports.onTick(this::voters, nowNanos));
-        granters.forEach((service, granter) -> actions.addAll(voteRound(service, granter, nowNanos)));
-        granters.entrySet().removeIf(entry -> isForgettable(entry.getKey(), entry.getValue(), nowNanos));
+        actions.addAll(outOfServiceReports.onTick(this::voters, nowNanos));
+        granters.forEach((service, granter) -> actions.addAll(startVoteRound(service, granter, nowNanos)));
+        granters.entrySet().removeIf(entry -> isDisposable(entry.getKey(), entry.getValue(), nowNanos));
         return actions;
     }
 
-    /** Returns whether the right of this VM to eject the server is live. */
+    /** Returns whether this VM has a live grant to eject the server. */
     public boolean isGrantLive(String service, String server, long nowNanos) {
         return holder.isLive(service, server, nowNanos);
     }
 
-    /** Returns whether this VM is the granter of the service and may grant new rights. */
+    /** Returns whether this VM is the granter of the service and may issue new grants. */
     public boolean isGranting(String service, long nowNanos) {
         Granter granter = granters.get(service);
         return granter != null
@@ -153,20 +153,20 @@
                 .toList();
     }
 
-    /** Returns the number of live rights of this VM. */
+    /** Returns the number of live grants that this VM holds. */
     public long liveGrants(long nowNanos) {
         return holder.liveGrants(nowNanos);
     }
 
     private List<FloorAction> onVoteRequest(String sender, VoteRequest request, long nowNanos) {
         String service = request.service();
-        boolean given = voter.vote(
+        boolean granted = voter.vote(
                 service,
                 voters(service),
                 new VoterSet(request.voters()),
                 new Candidate(sender, request.incarnation()),
                 nowNanos);
-        return List.of(new Send(sender, new VoteReply(service, request.incarnation(), request.round(), given)));
+        return List.of(new Send(sender, new VoteReply(service, request.incarnation(), request.round(), granted)));
     }
 
     private void onVoteReply(String sender, VoteReply reply, long nowNanos) {
@@ -177,22 +177,23 @@
         granter.lease().onVote(sender, reply.round(), nowNanos);
     }
 
-    private List<FloorAction> onRightRequest(String sender, GrantRequest request, long nowNanos) {
+    private List<FloorAction> onGrantRequest(String sender, GrantRequest request, long nowNanos) {
         String service = request.service();
         becomeCandidateIfBestRanked(service);
         Granter granter = granters.get(service);
-        GrantResult verdict =
+        GrantResult result =
                 granter == null ? GrantResult.NOT_GRANTER : granter.decide(sender, request, rules(service), nowNanos);
-        String known = voter.votedFor(service, nowNanos).orElse("");
-        return List.of(new Send(sender, new GrantReply(service, request.server(), request.sequence(), verdict, known)));
+        String knownGranter = voter.votedFor(service, nowNanos).orElse("");
+        return List.of(
+                new Send(sender, new GrantReply(service, request.server(), request.sequence(), result, knownGranter)));
     }
 
-    private List<FloorAction> voteRound(String service, Granter granter, long nowNanos) {
+    private List<FloorAction> startVoteRound(String service, Granter granter, long nowNanos) {
         GranterLease lease = granter.lease();
         VoterSet voters = voters(service);
         lease.changeVoters(voters);
-        boolean standing = lease.isHeld(nowNanos) || isFirstReachable(voters);
-        if (!standing || !voters.contains(self) || !lease.isRoundDue(nowNanos)) {
+        boolean isCandidate = lease.isHeld(nowNanos) || isFirstReachable(voters);
+        if (!isCandidate || !voters.contains(self) || !lease.isRoundDue(nowNanos)) {
             return List.of();
         }
         long round = lease.startRound(nowNanos);
@@ -202,7 +203,7 @@
                 .toList();
     }
 
-    private boolean isForgettable(String service, Granter granter, long nowNanos) {
+    private boolean isDisposable(String service, Granter granter, long nowNanos) {
         return granter.isIdle(nowNanos) && !isFirstReachable(voters(service));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantHolder.java
@@ -16,177 +16,177 @@
 import java.util.function.Function;
 import java.util.stream.Stream;
 
-/** The rights that one VM holds and asks for, over all services. */
+/** The grants that one VM holds and requests, over all services. */
 public final class GrantHolder {
-    private final Map<Key, HeldGrant> rights = new TreeMap<>();
+    private final Map<Key, HeldGrant> grants = new TreeMap<>();
     private final Map<String, String> granters = new HashMap<>();
     private final Map<String, ServiceRules> rules = new HashMap<>();
     private long lastSequence;
 
     /**
-     * Returns a holder without rights.
+     * Creates a holder without grants.
      *
-     * @param incarnation the start of this VM, so that its sequence numbers are above those of earlier starts
+     * @param incarnation the incarnation of this VM; makes its sequence numbers larger than those of earlier starts
      */
     public GrantHolder(long incarnation) {
         this.lastSequence = incarnation << 20;
     }
 
-    /** Asks for a right, or renews it. */
+    /** Requests a grant, or its renewal. */
     public List<FloorAction> request(
-            String service, String server, VoterSet voters, ServiceRules inForce, long nowNanos) {
-        rules.put(service, inForce);
-        HeldGrant right =
-                rights.computeIfAbsent(new Key(service, server), key -> new HeldGrant(service, server, nowNanos));
-        right.markRequested(nowNanos);
-        if (right.isAwaitingReply() || (right.isLive(nowNanos) && !right.isRenewalDue(nowNanos))) {
+            String service, String server, VoterSet voters, ServiceRules currentRules, long nowNanos) {
+        rules.put(service, currentRules);
+        HeldGrant grant =
+                grants.computeIfAbsent(new Key(service, server), key -> new HeldGrant(service, server, nowNanos));
+        grant.markRequested(nowNanos);
+        if (grant.isAwaitingReply() || (grant.isLive(nowNanos) && !grant.isRenewalDue(nowNanos))) {
             return List.of();
         }
-        right.setCandidates(candidates(service, voters));
-        return askNext(right, nowNanos);
+        grant.setCandidates(candidates(service, voters));
+        return sendToNextTarget(grant, nowNanos);
     }
 
-    /** Gives a right back. */
+    /** Releases a grant. */
     public List<FloorAction> release(String service, String server, VoterSet voters) {
-        HeldGrant right = rights.remove(new Key(service, server));
-        return right == null ? List.of() : releaseActions(right, voters);
+        HeldGrant grant = grants.remove(new Key(service, server));
+        return grant == null ? List.of() : releaseActions(grant, voters);
     }
 
-    /** Takes in an answer. */
+    /** Handles the reply to a request. */
     public List<FloorAction> onReply(String sender, GrantReply reply, long nowNanos) {
-        HeldGrant right = rights.get(new Key(reply.service(), reply.server()));
-        if (right == null || !right.isAwaitedReply(reply.sequence())) {
+        HeldGrant grant = grants.get(new Key(reply.service(), reply.server()));
+        if (grant == null || !grant.isAwaitedReply(reply.sequence())) {
             return List.of();
         }
-        return switch (reply.verdict()) {
-            case GRANTED -> onGranted(sender, right, nowNanos);
-            case REFUSED -> onRefused(sender, right, nowNanos);
+        return switch (reply.result()) {
+            case GRANTED -> onGranted(sender, grant, nowNanos);
+            case REFUSED -> onRefused(sender, grant, nowNanos);
             case NOT_GRANTER -> {
                 granters.remove(reply.service(), sender);
-                right.prioritize(reply.granter());
-                yield askNext(right, nowNanos);
+                grant.prioritize(reply.granter());
+                yield sendToNextTarget(grant, nowNanos);
             }
         };
     }
 
-    /** Ends a right early. */
+    /** Handles the revocation of a grant. */
     public List<FloorAction> onRevoked(String service, String server, VoterSet voters) {
-        HeldGrant right = rights.remove(new Key(service, server));
-        if (right == null) {
+        HeldGrant grant = grants.remove(new Key(service, server));
+        if (grant == null) {
             return List.of();
         }
-        return Stream.concat(Stream.of(new Revoked(service, server)), releaseActions(right, voters).stream())
+        return Stream.concat(Stream.of(new Revoked(service, server)), releaseActions(grant, voters).stream())
                 .toList();
     }
 
-    /** Takes in the configuration: a service that may spare fewer servers than before loses all its rights at once. */
-    public List<FloorAction> onRules(Function<String, ServiceRules> inForce, Function<String, VoterSet> voters) {
+    /** Applies a configuration; all grants of a service whose allowance shrinks end at once. */
+    public List<FloorAction> onRules(Function<String, ServiceRules> newRules, Function<String, VoterSet> voters) {
         List<FloorAction> actions = new ArrayList<>();
         for (Map.Entry<String, ServiceRules> entry : rules.entrySet()) {
-            ServiceRules now = inForce.apply(entry.getKey());
-            if (now.allowance() < entry.getValue().allowance()) {
+            ServiceRules current = newRules.apply(entry.getKey());
+            if (current.allowance() < entry.getValue().allowance()) {
                 actions.addAll(revokeAll(entry.getKey(), voters.apply(entry.getKey())));
             }
-            entry.setValue(now);
+            entry.setValue(current);
         }
         return actions;
     }
 
-    /** Renews what is wanted, tries the next VM where an answer is overdue, and ends what has lapsed. */
+    /** Renews requested grants, sends a request to the next VM if its reply is overdue, and ends expired grants. */
     public List<FloorAction> onTick(Function<String, VoterSet> voters, long nowNanos) {
         List<FloorAction> actions = new ArrayList<>();
-        for (HeldGrant right : List.copyOf(rights.values())) {
-            actions.addAll(onTick(right, voters, nowNanos));
+        for (HeldGrant grant : List.copyOf(grants.values())) {
+            actions.addAll(onTick(grant, voters, nowNanos));
         }
         return actions;
     }
 
-    /** Returns whether the right to eject the server is live. */
+    /** Returns whether this VM has a live grant to eject the server. */
     public boolean isLive(String service, String server, long nowNanos) {
-        HeldGrant right = rights.get(new Key(service, server));
-        return right != null && right.isLive(nowNanos);
+        HeldGrant grant = grants.get(new Key(service, server));
+        return grant != null && grant.isLive(nowNanos);
     }
 
-    /** Returns the number of rights that are live. */
+    /** Returns the number of live grants. */
     public long liveGrants(long nowNanos) {
-        return rights.values().stream().filter(right -> right.isLive(nowNanos)).count();
+        return grants.values().stream().filter(grant -> grant.isLive(nowNanos)).count();
     }
 
-    /** Returns the VM that answered last as granter of the service. */
+    /** Returns the VM that last replied as granter of the service. */
     public Optional<String> granter(String service) {
         return Optional.ofNullable(granters.get(service));
     }
 
-    private List<FloorAction> onTick(HeldGrant right, Function<String, VoterSet> voters, long nowNanos) {
-        if (right.isExpired(nowNanos)) {
-            rights.remove(new Key(right.service(), right.server()));
-            return List.of(new Revoked(right.service(), right.server()));
+    private List<FloorAction> onTick(HeldGrant grant, Function<String, VoterSet> voters, long nowNanos) {
+        if (grant.isExpired(nowNanos)) {
+            grants.remove(new Key(grant.service(), grant.server()));
+            return List.of(new Revoked(grant.service(), grant.server()));
         }
-        if (right.isReplyOverdue(nowNanos)) {
-            granters.remove(right.service());
-            return askNext(right, nowNanos);
+        if (grant.isReplyOverdue(nowNanos)) {
+            granters.remove(grant.service());
+            return sendToNextTarget(grant, nowNanos);
         }
-        if (right.isLive(nowNanos) && right.isRequestedRecently(nowNanos) && right.isRenewalDue(nowNanos)) {
-            right.setCandidates(candidates(right.service(), voters.apply(right.service())));
-            return askNext(right, nowNanos);
+        if (grant.isLive(nowNanos) && grant.isRequestedRecently(nowNanos) && grant.isRenewalDue(nowNanos)) {
+            grant.setCandidates(candidates(grant.service(), voters.apply(grant.service())));
+            return sendToNextTarget(grant, nowNanos);
         }
         return List.of();
     }
 
-    private List<FloorAction> askNext(HeldGrant right, long nowNanos) {
-        Optional<String> target = right.nextTarget(++lastSequence, nowNanos);
+    private List<FloorAction> sendToNextTarget(HeldGrant grant, long nowNanos) {
+        Optional<String> target = grant.nextTarget(++lastSequence, nowNanos);
         if (target.isEmpty()) {
-            return refuseUnlessLive(right, nowNanos);
+            return refuseUnlessLive(grant, nowNanos);
         }
-        ServiceRules known = rules.get(right.service());
+        ServiceRules current = rules.get(grant.service());
         GrantRequest request = new GrantRequest(
-                right.service(),
-                right.server(),
-                right.sequence(),
-                right.wasLiveAtRequest(),
-                known.ticket(),
-                known.allowance());
+                grant.service(),
+                grant.server(),
+                grant.sequence(),
+                grant.wasLiveAtRequest(),
+                current.ticket(),
+                current.allowance());
         return List.of(new Send(target.get(), request));
     }
 
-    private List<FloorAction> onGranted(String sender, HeldGrant right, long nowNanos) {
-        granters.put(right.service(), sender);
-        if (!right.onGranted(nowNanos)) {
-            return refuseUnlessLive(right, nowNanos);
+    private List<FloorAction> onGranted(String sender, HeldGrant grant, long nowNanos) {
+        granters.put(grant.service(), sender);
+        if (!grant.onGranted(nowNanos)) {
+            return refuseUnlessLive(grant, nowNanos);
         }
-        return List.of(new Granted(right.service(), right.server(), right.untilNanos()));
+        return List.of(new Granted(grant.service(), grant.server(), grant.untilNanos()));
     }
 
-    private List<FloorAction> onRefused(String sender, HeldGrant right, long nowNanos) {
-        granters.put(right.service(), sender);
-        rights.remove(new Key(right.service(), right.server()));
-        boolean live = right.isLive(nowNanos);
+    private List<FloorAction> onRefused(String sender, HeldGrant grant, long nowNanos) {
+        granters.put(grant.service(), sender);
+        grants.remove(new Key(grant.service(), grant.server()));
+        boolean live = grant.isLive(nowNanos);
         return List.of(
-                live ? new Revoked(right.service(), right.server()) : new Refused(right.service(), right.server()));
+                live ? new Revoked(grant.service(), grant.server()) : new Refused(grant.service(), grant.server()));
     }
 
-    private List<FloorAction> refuseUnlessLive(HeldGrant right, long nowNanos) {
-        right.finishRequest();
-        if (right.isLive(nowNanos)) {
+    private List<FloorAction> refuseUnlessLive(HeldGrant grant, long nowNanos) {
+        grant.finishRequest();
+        if (grant.isLive(nowNanos)) {
             return List.of();
         }
-        rights.remove(new Key(right.service(), right.server()));
-        return List.of(new Refused(right.service(), right.server()));
+        grants.remove(new Key(grant.service(), grant.server()));
+        return List.of(new Refused(grant.service(), grant.server()));
     }
 
     private List<FloorAction> revokeAll(String service, VoterSet voters) {
         List<FloorAction> actions = new ArrayList<>();
-        for (HeldGrant right : List.copyOf(rights.values())) {
-            if (right.service().equals(service)) {
-                actions.addAll(onRevoked(service, right.server(), voters));
+        for (HeldGrant grant : List.copyOf(grants.values())) {
+            if (grant.service().equals(service)) {
+                actions.addAll(onRevoked(service, grant.server(), voters));
             }
         }
         return actions;
     }
 
-    private List<FloorAction> releaseActions(HeldGrant right, VoterSet voters) {
-        GrantRelease release = new GrantRelease(right.service(), right.server(), right.sequence());
-        return candidates(right.service(), voters).stream()
+    private List<FloorAction> releaseActions(HeldGrant grant, VoterSet voters) {
+        GrantRelease release = new GrantRelease(grant.service(), grant.server(), grant.sequence());
+        return candidates(grant.service(), voters).stream()
                 .<FloorAction>map(target -> new Send(target, release))
                 .toList();
     }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantTable.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 
 /**
- * The rights that a granter has given for one service, and the servers that it knows to be out of service for another
- * reason. It counts each right from receipt of the request and longer than the holder does.
+ * The grants that a granter has issued for one service, and the servers that it knows to be out of service for another
+ * reason. A grant counts from receipt of the request and expires later here than at its holder.
  */
 public final class GrantTable {
     private final Map<Grant, Entry> grants = new HashMap<>();
     private final Map<String, Report> reports = new HashMap<>();
 
-    /** Takes in what a VM tells of servers that are out of service. */
+    /** Records a report of servers that are out of service; it replaces the last one of the same sender. */
     public void recordReport(String sender, List<String> servers, long nowNanos) {
         if (servers.isEmpty()) {
             reports.remove(sender);
@@ -27,11 +27,11 @@
     }
 
     /**
-     * Counts the right if it fits, for one more grant duration from now.
+     * Adds or renews a grant for one grant duration from now, unless more servers than allowed would be out of service.
      *
-     * @param draining the servers that the configuration counts as draining
+     * @param draining the servers that are draining by the configuration
      * @param allowance the number of servers that may be out of service
-     * @return whether it fits
+     * @return whether the server was granted
      */
     public boolean tryGrant(String holder, GrantRequest request, Set<String> draining, int allowance, long nowNanos) {
         Set<String> out = outOfService(draining, nowNanos);
@@ -43,18 +43,18 @@
         grants.merge(
                 new Grant(request.server(), holder),
                 new Entry(request.sequence(), untilNanos),
-                (old, now) -> new Entry(Math.max(old.sequence(), now.sequence()), now.untilNanos()));
+                (old, renewed) -> new Entry(Math.max(old.sequence(), renewed.sequence()), renewed.untilNanos()));
         return true;
     }
 
-    /** Stops counting a right that its holder gave back, unless the holder has asked again since. */
+    /** Removes a grant that its holder released, unless the holder has requested it again since. */
     public void release(String holder, GrantRelease release) {
         grants.computeIfPresent(
                 new Grant(release.server(), holder),
                 (grant, entry) -> entry.sequence() <= release.sequence() ? null : entry);
     }
 
-    /** Returns the servers that are out of service or may be, by rights, reports and the configuration. */
+    /** Returns the servers that are or may be out of service, by grants, reports and the configuration. */
     public Set<String> outOfService(Set<String> draining, long nowNanos) {
         prune(nowNanos);
         Set<String> out = new HashSet<>(draining);
@@ -63,7 +63,7 @@
         return out;
     }
 
-    /** Returns the rights that are to end early so that the rest fits the allowance, in the order of their servers. */
+    /** Returns the grants to revoke so that the rest is within the allowance, in the order of their servers. */
     public List<Grant> excess(Set<String> draining, int allowance, long nowNanos) {
         int excess = outOfService(draining, nowNanos).size() - allowance;
         if (excess <= 0) {
@@ -79,7 +79,7 @@
         return byServer.values().stream().limit(excess).flatMap(List::stream).toList();
     }
 
-    /** Returns whether nothing is counted. */
+    /** Returns whether there are neither grants nor reports. */
     public boolean isEmpty(long nowNanos) {
         prune(nowNanos);
         return grants.isEmpty() && reports.isEmpty();
@@ -91,7 +91,7 @@
     }
 
     /**
-     * A right, whoever gave it.
+     * A grant for one server to one holder.
      *
      * @param server the server
      * @param holder the VM that may eject it
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
@@ -6,23 +6,23 @@
 import io.coppershelf.floor.internal.FloorMessage.OutOfServiceReport;
 import java.util.List;
 
-/** One VM as granter, or as one that may become it, of the rights of one service. */
+/** The granter of one service, or a candidate for it: issues the grants to eject its servers. */
 public final class Granter {
     private final GranterLease lease = new GranterLease();
-    private final GrantTable ledger = new GrantTable();
+    private final GrantTable grants = new GrantTable();
 
-    /** Returns the lease under which rights are granted. */
+    /** Returns the lease under which this VM issues grants. */
     public GranterLease lease() {
         return lease;
     }
 
     /**
-     * Decides on a request for a right.
+     * Decides on a request for a grant.
      *
-     * <p>While rights of a former granter may be live only live rights are renewed; their number was within the
-     * allowance when the former granter gave them. That this granter counts a right is not enough then: the request
-     * that it was counted for may have come so late that the right had lapsed and the former granter had given it to
-     * another holder.
+     * <p>During the takeover period, while grants of a former granter may be live, only grants that are live at their
+     * holder are renewed; their number was within the allowance when the former granter issued them. An entry in this
+     * granter's table is not sufficient in that period: the request behind it may have arrived so late that the grant
+     * had expired and the former granter had issued it to another holder.
      */
     public GrantResult decide(String holder, GrantRequest request, ServiceRules rules, long nowNanos) {
         if (!lease.isHeld(nowNanos)) {
@@ -37,35 +37,35 @@
         int allowance = request.ticket() == rules.ticket()
                 ? Math.min(request.allowance(), rules.allowance())
                 : rules.allowance();
-        boolean fits = ledger.tryGrant(holder, request, rules.draining(), allowance, nowNanos);
+        boolean fits = grants.tryGrant(holder, request, rules.draining(), allowance, nowNanos);
         return fits ? GrantResult.GRANTED : GrantResult.REFUSED;
     }
 
-    /** Stops counting a right that its holder gave back. */
+    /** Removes a grant that its holder released. */
     public void onRelease(String holder, GrantRelease release) {
-        ledger.release(holder, release);
+        grants.release(holder, release);
     }
 
-    /** Takes in a report of servers that are out of service. */
+    /** Records a report of servers that are out of service. */
     public void onReport(String sender, OutOfServiceReport report, long nowNanos) {
-        ledger.recordReport(sender, report.servers(), nowNanos);
+        grants.recordReport(sender, report.servers(), nowNanos);
     }
 
-    /** Returns the rights that the rules no longer allow. */
+    /** Returns the grants that the rules no longer allow. */
     public List<GrantTable.Grant> excess(ServiceRules rules, long nowNanos) {
         if (!lease.isHeld(nowNanos)) {
             return List.of();
         }
-        return ledger.excess(rules.draining(), rules.allowance(), nowNanos);
+        return grants.excess(rules.draining(), rules.allowance(), nowNanos);
     }
 
-    /** Returns the number of servers that this VM counts as out of service. */
+    /** Returns the number of servers that are or may be out of service. */
     public int outOfServiceCount(ServiceRules rules, long nowNanos) {
-        return ledger.outOfService(rules.draining(), nowNanos).size();
+        return grants.outOfService(rules.draining(), nowNanos).size();
     }
 
-    /** Returns whether this VM has nothing to remember for the service. */
+    /** Returns whether there is neither a lease nor any grant or report. */
     public boolean isIdle(long nowNanos) {
-        return !lease.isHeld(nowNanos) && ledger.isEmpty(nowNanos);
+        return !lease.isHeld(nowNanos) && grants.isEmpty(nowNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GranterLease.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GranterLease.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * The lease under which one VM is the granter of a service, won and kept by rounds of votes.
+ * The lease under which one VM is the granter of a service, acquired and renewed by vote rounds.
  *
- * <p>The lease counts from before the requests of a round were sent. Once it is won anew, a takeover time follows in
- * which rights of a former granter may still be live.
+ * <p>The lease counts from before the requests of a round were sent. After it is acquired, though not after a renewal,
+ * a takeover period follows in which grants of a former granter may still be live.
  *
  * @see <a href="https://dl.acm.org/doi/10.1145/74850.74870">Gray and Cheriton, Leases, SOSP 1989</a>
  */
@@ -16,44 +16,45 @@
     private final Set<String> votes = new HashSet<>();
     private long round;
     private long roundStartNanos;
-    private boolean asked;
-    private boolean won;
+    private boolean roundStarted;
+    private boolean acquired;
     private long untilNanos;
     private long takeoverUntilNanos;
 
-    /** Takes over the voter set in force; the lease of another set is dropped. */
-    public void changeVoters(VoterSet now) {
-        if (voters.equals(now)) {
+    /** Applies a voter set; if it differs from the last one, the lease is dropped. */
+    public void changeVoters(VoterSet newVoters) {
+        if (voters.equals(newVoters)) {
             return;
         }
-        voters = now;
-        drop();
+        voters = newVoters;
+        reset();
     }
 
-    /** Drops the lease and the round under way. */
-    public void drop() {
-        won = false;
-        asked = false;
+    /** Drops the lease and the vote round in progress. */
+    public void reset() {
+        acquired = false;
+        roundStarted = false;
         votes.clear();
     }
 
-    /** Returns whether it is time for a round of votes. */
+    /** Returns whether the next vote round is due. */
     public boolean isRoundDue(long nowNanos) {
-        return voters.isLargeEnough() && (!asked || nowNanos - roundStartNanos >= FloorTiming.LEASE_RENEWAL.toNanos());
+        return voters.isLargeEnough()
+                && (!roundStarted || nowNanos - roundStartNanos >= FloorTiming.LEASE_RENEWAL.toNanos());
     }
 
-    /** Starts a round and returns its number; the requests are to be sent afterwards. */
+    /** Starts a vote round and returns its number; the requests must be sent after this call. */
     public long startRound(long nowNanos) {
         round++;
         roundStartNanos = nowNanos;
-        asked = true;
+        roundStarted = true;
         votes.clear();
         return round;
     }
 
-    /** Counts a vote of the given round. */
-    public void onVote(String voter, long ofRound, long nowNanos) {
-        if (!asked || ofRound != round || !voters.contains(voter)) {
+    /** Counts a vote; a vote of another round than the latest is ignored. */
+    public void onVote(String voter, long voteRound, long nowNanos) {
+        if (!roundStarted || voteRound != round || !voters.contains(voter)) {
             return;
         }
         votes.add(voter);
@@ -63,21 +64,21 @@
         if (!isHeld(nowNanos)) {
             takeoverUntilNanos = nowNanos + FloorTiming.issuerNanos(FloorTiming.GRANT_DURATION);
         }
-        won = true;
+        acquired = true;
         untilNanos = roundStartNanos + FloorTiming.LEASE_DURATION.toNanos();
     }
 
     /** Returns whether this VM is the granter now. */
     public boolean isHeld(long nowNanos) {
-        return won && nowNanos - untilNanos < 0;
+        return acquired && nowNanos - untilNanos < 0;
     }
 
-    /** Returns whether rights of a former granter may still be live, so that no new right may be granted. */
+    /** Returns whether grants of a former granter may still be live, so that no new grant may be issued. */
     public boolean isTakingOver(long nowNanos) {
         return nowNanos - takeoverUntilNanos < 0;
     }
 
-    /** Returns the voter set in force. */
+    /** Returns the current voter set. */
     public VoterSet voters() {
         return voters;
     }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldGrant.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldGrant.java
@@ -3,23 +3,23 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One right that this VM holds or asks for. */
+/** One grant that this VM holds or requests. */
 final class HeldGrant {
     private final String service;
     private final String server;
     private long sequence;
     private long sentAtNanos;
-    private boolean awaiting;
-    private boolean wasLive;
+    private boolean awaitingReply;
+    private boolean wasLiveAtRequest;
     private boolean granted;
     private long untilNanos;
-    private long wantedAtNanos;
-    private List<String> untried = List.of();
+    private long requestedAtNanos;
+    private List<String> remainingTargets = List.of();
 
     HeldGrant(String service, String server, long nowNanos) {
         this.service = service;
         this.server = server;
-        this.wantedAtNanos = nowNanos;
+        this.requestedAtNanos = nowNanos;
     }
 
     String service() {
@@ -39,7 +39,7 @@
     }
 
     boolean wasLiveAtRequest() {
-        return wasLive;
+        return wasLiveAtRequest;
     }
 
     boolean isLive(long nowNanos) {
@@ -51,74 +51,78 @@
     }
 
     boolean isAwaitingReply() {
-        return awaiting;
+        return awaitingReply;
     }
 
     void markRequested(long nowNanos) {
-        wantedAtNanos = nowNanos;
+        requestedAtNanos = nowNanos;
     }
 
-    /** Returns whether the owner of the server has asked within the last grant duration. */
+    /** Returns whether the owner of the server requested the grant within the last grant duration. */
     boolean isRequestedRecently(long nowNanos) {
-        return nowNanos - wantedAtNanos < FloorTiming.GRANT_DURATION.toNanos();
+        return nowNanos - requestedAtNanos < FloorTiming.GRANT_DURATION.toNanos();
     }
 
     boolean isRenewalDue(long nowNanos) {
-        return !awaiting && nowNanos - sentAtNanos >= FloorTiming.GRANT_RENEWAL.toNanos();
+        return !awaitingReply && nowNanos - sentAtNanos >= FloorTiming.GRANT_RENEWAL.toNanos();
     }
 
     boolean isReplyOverdue(long nowNanos) {
-        return awaiting && nowNanos - sentAtNanos >= FloorTiming.ANSWER_TIMEOUT.toNanos();
+        return awaitingReply && nowNanos - sentAtNanos >= FloorTiming.REPLY_TIMEOUT.toNanos();
     }
 
-    /** Starts to ask the given VMs one after another. */
+    /** Sets the VMs to send the request to, one after another. */
     void setCandidates(List<String> candidates) {
-        untried = candidates;
-        awaiting = false;
+        remainingTargets = candidates;
+        awaitingReply = false;
     }
 
-    /** Prefers the VM that another one named as granter, if it was not tried yet. */
+    /** Moves the VM that another one named as granter to the front, unless the request was already sent to it. */
     void prioritize(String granter) {
-        if (!untried.contains(granter)) {
+        if (!remainingTargets.contains(granter)) {
             return;
         }
-        List<String> others = untried.stream().filter(id -> !id.equals(granter)).toList();
-        untried = java.util.stream.Stream.concat(java.util.stream.Stream.of(granter), others.stream())
+        List<String> others =
+                remainingTargets.stream().filter(id -> !id.equals(granter)).toList();
+        remainingTargets = java.util.stream.Stream.concat(java.util.stream.Stream.of(granter), others.stream())
                 .toList();
     }
 
-    /** Returns the next VM to ask and counts the request as sent now, empty if all were tried. */
+    /** Returns the VM to send the request to and records it as sent now, or empty if none is left. */
     Optional<String> nextTarget(long newSequence, long nowNanos) {
-        if (untried.isEmpty()) {
-            awaiting = false;
+        if (remainingTargets.isEmpty()) {
+            awaitingReply = false;
             return Optional.empty();
         }
-        String target = untried.get(0);
-        untried = untried.subList(1, untried.size());
+        String target = remainingTargets.get(0);
+        remainingTargets = remainingTargets.subList(1, remainingTargets.size());
         sequence = newSequence;
         sentAtNanos = nowNanos;
-        wasLive = isLive(nowNanos);
-        awaiting = true;
+        wasLiveAtRequest = isLive(nowNanos);
+        awaitingReply = true;
         return Optional.of(target);
     }
 
-    boolean isAwaitedReply(long ofSequence) {
-        return awaiting && ofSequence == sequence;
+    boolean isAwaitedReply(long replySequence) {
+        return awaitingReply && replySequence == sequence;
     }
 
     void finishRequest() {
-        awaiting = false;
-        untried = List.of();
+        awaitingReply = false;
+        remainingTargets = List.of();
     }
 
     /**
-     * Takes a grant, which counts from before the request was sent. A renewal only prolongs a right that is still live:
-     * a new granter takes it over without counting it as new.
+     * Handles the reply that the server is granted. The grant counts from before the request was sent. A renewal only
+     * extends a grant that is still live: the granter may have renewed it on the holder's claim that it was live,
+     * without treating it as a new one.
+     *
+     * @return whether the grant is live now
      */
     boolean onGranted(long nowNanos) {
         long until = sentAtNanos + FloorTiming.GRANT_DURATION.toNanos();
         finishRequest();
-        if (nowNanos - until >= 0 || (wasLive && !isLive(nowNanos))) {
+        if (nowNanos - until >= 0 || (wasLiveAtRequest && !isLive(nowNanos))) {
             return false;
         }
         granted = true;
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/OutOfServiceReports.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/OutOfServiceReports.java
@@ -10,33 +10,33 @@
 import java.util.TreeSet;
 import java.util.function.Function;
 
-/** The servers that this VM knows to be out of service for another reason than ejection, told to all voters. */
+/** The servers that this VM knows to be out of service for another reason than ejection; reports them to all voters. */
 final class OutOfServiceReports {
-    private final Map<String, Set<String>> out = new TreeMap<>();
+    private final Map<String, Set<String>> outOfService = new TreeMap<>();
     private long lastReportNanos;
 
-    /** Notes a change and tells the voters at once. */
+    /** Records a change and reports it to the voters at once. */
     List<FloorAction> change(String service, String server, boolean isOut, VoterSet voters, long nowNanos) {
-        Set<String> servers = out.computeIfAbsent(service, name -> new TreeSet<>());
+        Set<String> servers = outOfService.computeIfAbsent(service, name -> new TreeSet<>());
         boolean changed = isOut ? servers.add(server) : servers.remove(server);
         if (!changed) {
             return List.of();
         }
         List<FloorAction> actions = report(service, servers, voters);
         if (servers.isEmpty()) {
-            out.remove(service);
+            outOfService.remove(service);
         }
         return actions;
     }
 
-    /** Repeats the reports at intervals. */
+    /** Resends the reports at intervals. */
     List<FloorAction> onTick(Function<String, VoterSet> voters, long nowNanos) {
         if (nowNanos - lastReportNanos < FloorTiming.REPORT_INTERVAL.toNanos()) {
             return List.of();
         }
         lastReportNanos = nowNanos;
         List<FloorAction> actions = new ArrayList<>();
-        out.forEach((service, servers) -> actions.addAll(report(service, servers, voters.apply(service))));
+        outOfService.forEach((service, servers) -> actions.addAll(report(service, servers, voters.apply(service))));
         return actions;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/ServiceRules.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/ServiceRules.java
@@ -8,10 +8,10 @@
 import java.util.stream.Collectors;
 
 /**
- * What the configuration says about the servers of a service that may be out of service.
+ * The rules of the configuration on how many servers of a service may be out of service.
  *
- * @param ticket the number of the ticket that set the service, 0 if none did
- * @param allowance the number of servers that may be out of service: servers less floor
+ * @param ticket the number of the ticket that last changed the service, 0 if none did
+ * @param allowance the number of servers that may be out of service: number of servers minus floor
  * @param draining the servers that are draining by ticket
  */
 public record ServiceRules(long ticket, int allowance, Set<String> draining) {
--- a/coppershelf/src/main/java/io/coppershelf/floor/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The right to eject a backend server, bounded over the whole fleet by the floor of its service and by time. Pure
- * decisions, and the part of the daemon that drives them.
+ * Grants to eject backend servers. A grant is the right to eject one server for a limited time; over the whole fleet,
+ * the granter of a service grants only as many as leave its floor in service.
  */
 package io.coppershelf.floor;
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/FakeConfiguration.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/FakeConfiguration.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** One service with some servers, the first of which are draining. */
+/** A configuration of one service with several servers, the first of which are draining. */
 public record FakeConfiguration(long ticketNumber, int serverCount, int floor, int drainingCount)
         implements Configuration {
     static final String SERVICE = "vagtbank";
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/FakeFleetView.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/FakeFleetView.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A view of the fleet from a list; ranks by a hash of key and id. */
+/** A view of the fleet built from a list of VMs; ranks them by a hash of key and id. */
 public record FakeFleetView(Vm self, List<Vm> vms, Set<String> unreachable) implements FleetView {
-    /** Returns a VM of the given name and start. */
+    /** Returns a VM with the given id and incarnation. */
     public static Vm vm(String id, long incarnation) {
         return new Vm(id, incarnation, "herning", "127.0.0.1", 1, 2, false);
     }
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/FloorSafetyTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/FloorSafetyTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Never below the floor, whatever happens; and rights up to the floor once the faults are over. */
+/** Checks that the grants never leave fewer servers than the floor under faults, and reach the floor after them. */
 class FloorSafetyTest {
     private static final int SEEDS = 8;
-    private static final FakeConfiguration RULES = new FakeConfiguration(1, 14, 11, 0);
+    private static final FakeConfiguration CONFIGURATION = new FakeConfiguration(1, 14, 11, 0);
     private static final Duration WARM_UP = Duration.ofSeconds(35);
     private static final Duration RECOVERY = Duration.ofSeconds(60);
 
@@ -28,7 +28,7 @@
     @ParameterizedTest
     @MethodSource("faultsAndSeeds")
     void neverEjectsBelowTheFloorAndRecovers(Fault fault, int seed) {
-        SimulatedFloorFleet fleet = new SimulatedFloorFleet(seed, 9, RULES);
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(seed, 9, CONFIGURATION);
         fleet.run(WARM_UP);
         Random random = new Random(seed);
         for (int i = 0; i < 4; i++) {
@@ -44,8 +44,8 @@
     }
 
     @Test
-    void raisedFloorReturnsServersAtOnceOnEachVmThatKnowsIt() {
-        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, 9, RULES);
+    void raisedFloorEndsAllGrantsAtOnceOnEachVmThatAppliesIt() {
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, 9, CONFIGURATION);
         fleet.run(WARM_UP);
         FakeConfiguration raised = new FakeConfiguration(2, 14, 13, 0);
         fleet.ids().forEach(id -> fleet.configure(id, raised));
@@ -63,8 +63,8 @@
     }
 
     @Test
-    void reportedServersCountAgainstTheFloorWhateverVmIsGranter() {
-        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, 9, RULES);
+    void reportedServersCountAgainstTheFloorWhicheverVmIsGranter() {
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, 9, CONFIGURATION);
         fleet.ids().forEach(id -> List.of(0, 1, 2).forEach(server -> fleet.reportDraining(id, server)));
         fleet.run(WARM_UP);
         assertThat(fleet.ejected()).containsNoneOf(FakeConfiguration.server(3), FakeConfiguration.server(9));
@@ -73,7 +73,7 @@
     @ParameterizedTest
     @MethodSource("smallFleets")
     void smallFleetsGrantOnlyWithThreeVotersOrMore(int vms, boolean grants) {
-        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, vms, RULES);
+        SimulatedFloorFleet fleet = new SimulatedFloorFleet(1, vms, CONFIGURATION);
         fleet.setLoss(0);
         fleet.run(WARM_UP);
         assertThat(fleet.maxOutOfService() > 0).isEqualTo(grants);
@@ -116,9 +116,9 @@
         CUT_ONE_WAY {
             @Override
             void inject(SimulatedFloorFleet fleet, Random random) {
-                String cut = any(fleet, random);
-                boolean in = random.nextBoolean();
-                fleet.ids().forEach(id -> fleet.cutLink(in ? id : cut, in ? cut : id));
+                String isolated = any(fleet, random);
+                boolean inbound = random.nextBoolean();
+                fleet.ids().forEach(id -> fleet.cutLink(inbound ? id : isolated, inbound ? isolated : id));
             }
         },
         SPLIT {
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/GrantHolderTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/GrantHolderTest.java
@@ -13,17 +13,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A holder counts its rights from before it asked and ends them in time. */
+/** Tests that a holder counts its grants from before the request was sent and ends them in time. */
 class GrantHolderTest {
     private static final VoterSet SET = new VoterSet(List.of("a", "b", "c"));
     private static final ServiceRules RULES = new ServiceRules(1, 3, Set.of());
-    private static final long GRANT = FloorTiming.GRANT_DURATION.toNanos();
-    private static final long RENEWAL = FloorTiming.GRANT_RENEWAL.toNanos();
-    private static final long TIMEOUT = FloorTiming.ANSWER_TIMEOUT.toNanos();
+    private static final long GRANT_NANOS = FloorTiming.GRANT_DURATION.toNanos();
+    private static final long RENEWAL_NANOS = FloorTiming.GRANT_RENEWAL.toNanos();
+    private static final long TIMEOUT_NANOS = FloorTiming.REPLY_TIMEOUT.toNanos();
 
     private final GrantHolder holder = new GrantHolder(1);
 
-    private GrantRequest ask(long now) {
+    private GrantRequest requestGrant(long now) {
         return request(holder.request("s", "s-1", SET, RULES, now));
     }
 
@@ -31,68 +31,70 @@
         return (GrantRequest) ((Send) actions.get(0)).message();
     }
 
-    private List<FloorAction> reply(GrantRequest to, GrantResult verdict, long now) {
-        return holder.onReply("a", new GrantReply("s", "s-1", to.sequence(), verdict, ""), now);
+    private List<FloorAction> reply(GrantRequest request, GrantResult result, long now) {
+        return holder.onReply("a", new GrantReply("s", "s-1", request.sequence(), result, ""), now);
     }
 
     @Test
-    void countsALateGrantFromBeforeTheRequest() {
-        assertThat(reply(ask(0), GrantResult.GRANTED, GRANT - 1)).containsExactly(new Granted("s", "s-1", GRANT));
-        assertThat(holder.isLive("s", "s-1", GRANT)).isFalse();
+    void countsADelayedGrantFromBeforeTheRequest() {
+        assertThat(reply(requestGrant(0), GrantResult.GRANTED, GRANT_NANOS - 1))
+                .containsExactly(new Granted("s", "s-1", GRANT_NANOS));
+        assertThat(holder.isLive("s", "s-1", GRANT_NANOS)).isFalse();
     }
 
     @Test
-    void takesNoGrantThatIsOver() {
-        assertThat(reply(ask(0), GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
+    void ignoresAGrantThatHasExpired() {
+        assertThat(reply(requestGrant(0), GrantResult.GRANTED, GRANT_NANOS)).containsExactly(new Refused("s", "s-1"));
     }
 
     @Test
-    void renewalDoesNotProlongARightThatHasLapsed() {
-        assertThat(reply(ask(0), GrantResult.GRANTED, 1)).hasSize(1);
-        GrantRequest renewal = ask(RENEWAL);
+    void renewalDoesNotExtendAnExpiredGrant() {
+        assertThat(reply(requestGrant(0), GrantResult.GRANTED, 1)).hasSize(1);
+        GrantRequest renewal = requestGrant(RENEWAL_NANOS);
         assertThat(renewal.live()).isTrue();
-        assertThat(reply(renewal, GrantResult.GRANTED, GRANT)).containsExactly(new Refused("s", "s-1"));
+        assertThat(reply(renewal, GrantResult.GRANTED, GRANT_NANOS)).containsExactly(new Refused("s", "s-1"));
     }
 
     @Test
-    void ignoresAnswersToEarlierRequestsAndAfterRelease() {
-        GrantRequest first = ask(0);
-        GrantRequest second = request(holder.onTick(service -> SET, TIMEOUT));
-        assertThat(reply(first, GrantResult.GRANTED, TIMEOUT)).isEmpty();
+    void ignoresRepliesToEarlierRequestsAndAfterRelease() {
+        GrantRequest first = requestGrant(0);
+        GrantRequest second = request(holder.onTick(service -> SET, TIMEOUT_NANOS));
+        assertThat(reply(first, GrantResult.GRANTED, TIMEOUT_NANOS)).isEmpty();
         assertThat(holder.release("s", "s-1", SET)).hasSize(3);
-        assertThat(reply(second, GrantResult.GRANTED, TIMEOUT)).isEmpty();
-        assertThat(holder.liveGrants(TIMEOUT)).isEqualTo(0);
+        assertThat(reply(second, GrantResult.GRANTED, TIMEOUT_NANOS)).isEmpty();
+        assertThat(holder.liveGrants(TIMEOUT_NANOS)).isEqualTo(0);
     }
 
     @Test
-    void asksTheNextVmWhereOneDoesNotAnswerAndGivesUpAfterTheLast() {
+    void sendsToTheNextVmAfterATimeoutAndRefusesAfterTheLast() {
         assertThat(((Send) holder.request("s", "s-1", SET, RULES, 0).get(0)).target())
                 .isEqualTo("a");
-        assertThat(((Send) holder.onTick(service -> SET, TIMEOUT).get(0)).target())
+        assertThat(((Send) holder.onTick(service -> SET, TIMEOUT_NANOS).get(0)).target())
                 .isEqualTo("b");
-        assertThat(((Send) holder.onTick(service -> SET, 2 * TIMEOUT).get(0)).target())
+        assertThat(((Send) holder.onTick(service -> SET, 2 * TIMEOUT_NANOS).get(0)).target())
                 .isEqualTo("c");
-        assertThat(holder.onTick(service -> SET, 3 * TIMEOUT)).containsExactly(new Refused("s", "s-1"));
+        assertThat(holder.onTick(service -> SET, 3 * TIMEOUT_NANOS)).containsExactly(new Refused("s", "s-1"));
     }
 
     @Test
-    void endsARightAtOnceWhenItsRenewalIsRefusedOrItsTimeIsOverOrTheAllowanceShrinks() {
-        reply(ask(0), GrantResult.GRANTED, 1);
-        assertThat(reply(ask(RENEWAL), GrantResult.REFUSED, RENEWAL)).containsExactly(new Revoked("s", "s-1"));
-        reply(ask(0), GrantResult.GRANTED, 1);
-        assertThat(holder.onTick(service -> SET, GRANT)).containsExactly(new Revoked("s", "s-1"));
-        reply(ask(0), GrantResult.GRANTED, 1);
+    void endsAGrantAtOnceWhenItsRenewalIsRefusedOrItExpiresOrTheAllowanceShrinks() {
+        reply(requestGrant(0), GrantResult.GRANTED, 1);
+        assertThat(reply(requestGrant(RENEWAL_NANOS), GrantResult.REFUSED, RENEWAL_NANOS))
+                .containsExactly(new Revoked("s", "s-1"));
+        reply(requestGrant(0), GrantResult.GRANTED, 1);
+        assertThat(holder.onTick(service -> SET, GRANT_NANOS)).containsExactly(new Revoked("s", "s-1"));
+        reply(requestGrant(0), GrantResult.GRANTED, 1);
         ServiceRules raised = new ServiceRules(2, 2, Set.of());
         assertThat(holder.onRules(service -> raised, service -> SET)).contains(new Revoked("s", "s-1"));
         assertThat(holder.liveGrants(1)).isEqualTo(0);
     }
 
     @Test
-    void stopsRenewingWhatIsNoLongerAskedFor() {
-        reply(ask(0), GrantResult.GRANTED, 1);
-        assertThat(holder.onTick(service -> SET, RENEWAL)).hasSize(1);
-        GrantRequest renewal = request(holder.onTick(service -> SET, RENEWAL + TIMEOUT));
-        reply(renewal, GrantResult.GRANTED, RENEWAL + TIMEOUT);
-        assertThat(holder.onTick(service -> SET, GRANT)).isEmpty();
+    void stopsRenewingAGrantThatIsNoLongerRequested() {
+        reply(requestGrant(0), GrantResult.GRANTED, 1);
+        assertThat(holder.onTick(service -> SET, RENEWAL_NANOS)).hasSize(1);
+        GrantRequest renewal = request(holder.onTick(service -> SET, RENEWAL_NANOS + TIMEOUT_NANOS));
+        reply(renewal, GrantResult.GRANTED, RENEWAL_NANOS + TIMEOUT_NANOS);
+        assertThat(holder.onTick(service -> SET, GRANT_NANOS)).isEmpty();
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/floor/internal/SimulatedFloorFleet.java
+++ b/coppershelf/src/test/java/io/coppershelf/floor/internal/SimulatedFloorFleet.java
@@ -15,8 +15,8 @@
 import java.util.TreeMap;
 
 /**
- * The floor's state machines of several VMs with virtual time, a network that loses, delays and repeats, and clocks of
- * different rates. Every VM wants to eject servers all the time; after each grant the floor is checked.
+ * Simulates the floor protocol on several VMs with virtual time, a network that loses, delays and duplicates messages,
+ * and clocks of different rates. Every VM requests grants continually; the floor is checked after each grant.
  */
 final class SimulatedFloorFleet {
     private static final long TICK_NANOS = Duration.ofMillis(100).toNanos();
@@ -25,12 +25,12 @@
     private final Map<String, Host> hosts = new TreeMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final Set<String> cuts = new HashSet<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private FakeConfiguration configuration;
-    private double loss = 0.05;
+    private double lossProbability = 0.05;
     private long now;
     private long order;
-    private int mostOut;
+    private int maxOutOfService;
 
     SimulatedFloorFleet(long seed, int vms, FakeConfiguration configuration) {
         this.random = new Random(seed);
@@ -56,49 +56,49 @@
         now = end;
     }
 
-    /** Cuts the way from one VM to another. */
+    /** Cuts the network link from one VM to another, in this direction only. */
     void cutLink(String from, String to) {
-        cuts.add(from + ">" + to);
+        cutLinks.add(from + ">" + to);
     }
 
     void healNetwork() {
-        cuts.clear();
-        loss = 0;
+        cutLinks.clear();
+        lossProbability = 0;
     }
 
-    void setLoss(double share) {
-        loss = share;
+    void setLoss(double probability) {
+        lossProbability = probability;
     }
 
-    /** Stops the VM for a time; what arrives is handled when it wakes. */
+    /** Pauses the VM; messages that arrive during the pause are handled at its end. */
     void pause(String id, Duration duration) {
-        hosts.get(id).pausedUntil = now + duration.toNanos();
+        hosts.get(id).pausedUntilNanos = now + duration.toNanos();
     }
 
-    /** Starts the VM anew, without memory. */
+    /** Restarts the VM with empty state. */
     void restart(String id) {
         Host host = hosts.get(id);
         host.start(new Vm(id, host.vm.incarnation() + 1, "herning", "127.0.0.1", 1, 2, false));
     }
 
-    /** Gives one VM another list of VMs; those unreachable are not on it or not answering. */
-    void setVmList(String id, List<String> listed, Set<String> unreachable) {
+    /** Sets the VM list of one VM, and the VMs that are unreachable from it. */
+    void setVmList(String id, List<String> listedVms, Set<String> unreachable) {
         Host host = hosts.get(id);
-        host.listed = listed.stream().map(name -> hosts.get(name).vm).toList();
+        host.listedVms = listedVms.stream().map(name -> hosts.get(name).vm).toList();
         host.unreachable = unreachable;
         host.node.onFleet(host.view(), host.localNanos());
     }
 
-    /** Brings a ticket into force on one VM. */
-    void configure(String id, FakeConfiguration now) {
+    /** Applies a configuration to one VM. */
+    void configure(String id, FakeConfiguration configuration) {
         Host host = hosts.get(id);
-        host.configuration = now;
-        host.perform(host.node.onConfiguration(now, host.localNanos()));
+        host.configuration = configuration;
+        host.perform(host.node.onConfiguration(configuration, host.localNanos()));
     }
 
-    /** Sets the configuration that the check uses from now on. */
-    void setCheckedConfiguration(FakeConfiguration inForce) {
-        configuration = inForce;
+    /** Sets the configuration whose floor is checked from now on. */
+    void setCheckedConfiguration(FakeConfiguration checked) {
+        configuration = checked;
     }
 
     void reportDraining(String id, int server) {
@@ -121,34 +121,35 @@
     }
 
     int maxOutOfService() {
-        return mostOut;
+        return maxOutOfService;
     }
 
     void resetMaxOutOfService() {
-        mostOut = 0;
+        maxOutOfService = 0;
     }
 
     private void checkFloor() {
-        Set<String> out = new HashSet<>(ejected());
-        out.addAll(ServiceRules.of(configuration, FakeConfiguration.SERVICE).draining());
-        mostOut = Math.max(mostOut, out.size());
-        assertWithMessage("servers in service at %s ms, out of service %s", now / 1_000_000, out)
-                .that(configuration.serverCount() - out.size())
+        Set<String> outOfService = new HashSet<>(ejected());
+        outOfService.addAll(
+                ServiceRules.of(configuration, FakeConfiguration.SERVICE).draining());
+        maxOutOfService = Math.max(maxOutOfService, outOfService.size());
+        assertWithMessage("servers in service at %s ms, out of service %s", now / 1_000_000, outOfService)
+                .that(configuration.serverCount() - outOfService.size())
                 .isAtLeast(configuration.floor());
     }
 
-    private void at(long time, Runnable task) {
+    private void schedule(long time, Runnable task) {
         events.add(new Event(time, order++, task));
     }
 
     private void deliver(String from, String to, FloorMessage message) {
-        if (!from.equals(to) && (cuts.contains(from + ">" + to) || random.nextDouble() < loss)) {
+        if (!from.equals(to) && (cutLinks.contains(from + ">" + to) || random.nextDouble() < lossProbability)) {
             return;
         }
         int copies = random.nextInt(20) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             long delayMillis = random.nextInt(50) == 0 ? random.nextInt(15_000) : 1 + random.nextInt(20);
-            at(
+            schedule(
                     now + Duration.ofMillis(delayMillis).toNanos(),
                     () -> hosts.get(to).receive(from, message));
         }
@@ -159,26 +160,26 @@
     private final class Host {
         private final double rate = 1 + (random.nextDouble() * 2 - 1) * FloorTiming.CLOCK_RATE_ERROR;
         private Vm vm;
-        private List<Vm> listed;
+        private List<Vm> listedVms;
         private Set<String> unreachable = Set.of();
         private FakeConfiguration configuration = SimulatedFloorFleet.this.configuration;
         private FloorNode node;
-        private long pausedUntil;
+        private long pausedUntilNanos;
 
-        Host(Vm vm, List<Vm> listed) {
-            this.listed = listed;
+        Host(Vm vm, List<Vm> listedVms) {
+            this.listedVms = listedVms;
             start(vm);
         }
 
-        void start(Vm now) {
-            vm = now;
+        void start(Vm started) {
+            vm = started;
             node = new FloorNode(view(), configuration, localNanos());
-            FloorNode started = node;
-            at(SimulatedFloorFleet.this.now, () -> tick(started));
+            FloorNode current = node;
+            schedule(SimulatedFloorFleet.this.now, () -> tick(current));
         }
 
         FakeFleetView view() {
-            return new FakeFleetView(vm, listed, unreachable);
+            return new FakeFleetView(vm, listedVms, unreachable);
         }
 
         long localNanos() {
@@ -186,8 +187,8 @@
         }
 
         void receive(String sender, FloorMessage message) {
-            if (now < pausedUntil) {
-                at(pausedUntil, () -> receive(sender, message));
+            if (now < pausedUntilNanos) {
+                schedule(pausedUntilNanos, () -> receive(sender, message));
                 return;
             }
             perform(node.onMessage(sender, message, localNanos()));
@@ -197,17 +198,17 @@
             if (node != started) {
                 return;
             }
-            if (now < pausedUntil) {
-                at(pausedUntil, () -> tick(started));
+            if (now < pausedUntilNanos) {
+                schedule(pausedUntilNanos, () -> tick(started));
                 return;
             }
             node.becomeCandidateIfBestRanked(FakeConfiguration.SERVICE);
             perform(node.onTick(localNanos()));
-            act();
-            at(now + TICK_NANOS, () -> tick(started));
+            requestOrRelease();
+            schedule(now + TICK_NANOS, () -> tick(started));
         }
 
-        private void act() {
+        private void requestOrRelease() {
             String server = FakeConfiguration.server(random.nextInt(configuration.serverCount()));
             boolean live = node.isGrantLive(FakeConfiguration.SERVICE, server, localNanos());
             if (live && random.nextInt(20) == 0) {
