--- a/coppershelf/src/main/java/io/coppershelf/claim/ClaimComponent.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/ClaimComponent.java
@@ -23,10 +23,10 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Claims idempotency keys at their holders, and is a holder itself. */
+/** Claims idempotency keys at their holders, and makes this VM a holder itself. */
 public final class ClaimComponent implements Component, Claims {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final Duration TICK = Duration.ofMillis(500);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(500);
 
     private TimeSource time;
     private HolderState holder;
@@ -55,16 +55,16 @@
         requester.registerHandlers();
         transfer.registerHandlers();
         fleet.onChange(() -> transfer.onFleet(control));
-        control.every(TICK, transfer::pullFromMissingPeers);
+        control.every(TICK_INTERVAL, transfer::pullFromMissingPeers);
         control.every(ClaimLimits.SETTLING_TIME, () -> holder.prune(time.nanos()));
-        registry.find(OperatorRegistry.NAME).ifPresent(this::describe);
-        logger.atInfo().log("[claim] Started; accepts keys once its peers have told theirs.");
+        registry.find(OperatorRegistry.NAME).ifPresent(this::registerStatus);
+        logger.atInfo().log("[claim] Started; accepts claims after it has pulled the claim records of its peers.");
     }
 
     @Override
     public void stop(Duration limit) {
         transfer.handOver(limit);
-        logger.atInfo().log("[claim] Stopped; claims handed over.");
+        logger.atInfo().log("[claim] Stopped; claim records were handed over.");
     }
 
     @Override
@@ -83,9 +83,10 @@
         if (request.idempotencyKey().isEmpty()) {
             return;
         }
-        Optional<Answer> kept = answer.filter(whole -> whole.body().length <= ClaimLimits.LARGEST_KEPT_ANSWER);
-        requester.complete(
-                new ClaimCompletion(key(request), RequestDigest.of(request), request.id(), status(outcome), kept));
+        Optional<Answer> keptAnswer =
+                answer.filter(complete -> complete.body().length <= ClaimLimits.MAX_KEPT_ANSWER_BYTES);
+        requester.complete(new ClaimCompletion(
+                key(request), RequestDigest.of(request), request.id(), status(outcome), keptAnswer));
     }
 
     private static String key(InboundRequest request) {
@@ -100,8 +101,8 @@
         };
     }
 
-    private void describe(OperatorRegistry desk) {
-        desk.addReadiness("claims", () -> holder.isComplete(time.nanos()));
-        desk.addStatus(status -> holder.describe(status.putObject("claims"), time.nanos()));
+    private void registerStatus(OperatorRegistry operators) {
+        operators.addReadiness("claims", () -> holder.isComplete(time.nanos()));
+        operators.addStatus(status -> holder.describe(status.putObject("claims"), time.nanos()));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
@@ -8,30 +8,30 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Claims idempotency keys over the fleet. Safe for use by several threads. */
+/** Claims idempotency keys across the fleet. Safe for use by several threads. */
 public interface Claims {
     ComponentKey<Claims> NAME = ComponentKey.named("claim", Claims.class);
 
-    /** Claims the key of a non-idempotent request before its first try; never completes exceptionally. */
+    /** Claims the key of a non-idempotent request before its first attempt; never completes exceptionally. */
     CompletableFuture<ClaimResult> claim(InboundRequest request);
 
     /**
-     * Tells how the request of a claim ended, so that a repeat gets the same truth. After {@link Outcome#NOT_RUN} the
-     * key is free again.
+     * Reports how the request of a claim ended, so that a later request with the same key gets the same outcome. After
+     * {@link Outcome#NOT_RUN} the key can be claimed again.
      *
-     * @param answer the whole answer, empty if there is none
+     * @param answer the complete answer, empty if there is none
      */
     void complete(InboundRequest request, Outcome outcome, Optional<Answer> answer);
 
-    /** What a claim came to. */
+    /** The result of a claim. */
     sealed interface ClaimResult {
-        /** The key is claimed for this request; it may be sent. */
+        /** The key is claimed for this request, which may be sent. */
         record Claimed() implements ClaimResult {}
 
-        /** The key was used before and this is the answer of that time. */
+        /** The key was used before; this is the answer to the earlier request. */
         record Answered(Answer answer) implements ClaimResult {}
 
-        /** The request must not be sent; the kind says why. */
+        /** The request must not be sent; the error kind gives the reason. */
         record Rejected(ErrorKind error) implements ClaimResult {}
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
@@ -21,9 +21,9 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The codecs of the claims' messages, types 100 to 106. */
+/** The codecs of the claim messages, types 100 to 106. */
 public final class ClaimCodecs {
-    private static final int LONGEST_LIST = 10_000;
+    private static final int MAX_LIST_ENTRIES = 10_000;
 
     private ClaimCodecs() {}
 
@@ -35,7 +35,7 @@
                 (m, out) -> {
                     out.packString(m.key());
                     writeDigest(m.digest(), out);
-                    out.packString(m.attempt()).packLong(m.remainingMillis());
+                    out.packString(m.requestId()).packLong(m.remainingMillis());
                 },
                 in -> new ClaimRequest(in.unpackString(), readDigest(in), in.unpackString(), in.unpackLong()));
     }
@@ -46,8 +46,8 @@
                 101,
                 ClaimReply.class,
                 (m, out) -> {
-                    out.packString(m.answer().verdict().name());
-                    writeAnswer(m.answer().answer(), out);
+                    out.packString(m.decision().kind().name());
+                    writeAnswer(m.decision().answer(), out);
                 },
                 in -> new ClaimReply(new HolderDecision(readEnum(HolderDecision.Kind.values(), in), readAnswer(in))));
     }
@@ -60,7 +60,7 @@
                 (m, out) -> {
                     out.packString(m.key());
                     writeDigest(m.digest(), out);
-                    out.packString(m.attempt()).packString(m.status().name());
+                    out.packString(m.requestId()).packString(m.status().name());
                     writeAnswer(m.answer(), out);
                 },
                 in -> new ClaimCompletion(
@@ -88,12 +88,12 @@
                 105,
                 ClaimPage.class,
                 (m, out) -> {
-                    writeList(m.attempts(), ClaimCodecs::writeAttempt, out);
+                    writeList(m.attempts(), ClaimCodecs::writeClaim, out);
                     out.packString(m.last()).packBoolean(m.complete()).packBoolean(m.historyKnown());
                     writeList(m.lost(), (id, packer) -> packer.packString(id), out);
                 },
                 in -> new ClaimPage(
-                        readList(ClaimCodecs::readAttempt, in),
+                        readList(ClaimCodecs::readClaim, in),
                         in.unpackString(),
                         in.unpackBoolean(),
                         in.unpackBoolean(),
@@ -105,19 +105,19 @@
         return new FunctionCodec<>(
                 106,
                 ClaimPush.class,
-                (m, out) -> writeList(m.attempts(), ClaimCodecs::writeAttempt, out),
-                in -> new ClaimPush(readList(ClaimCodecs::readAttempt, in)));
+                (m, out) -> writeList(m.claims(), ClaimCodecs::writeClaim, out),
+                in -> new ClaimPush(readList(ClaimCodecs::readClaim, in)));
     }
 
-    private static void writeAttempt(TransferredClaim attempt, MessagePacker out) throws IOException {
-        out.packString(attempt.key()).packString(attempt.id());
-        writeDigest(attempt.digest(), out);
-        out.packString(attempt.status().name());
-        writeAnswer(attempt.answer(), out);
-        out.packLong(attempt.overdueInNanos()).packLong(attempt.forgetInNanos());
+    private static void writeClaim(TransferredClaim claim, MessagePacker out) throws IOException {
+        out.packString(claim.key()).packString(claim.requestId());
+        writeDigest(claim.digest(), out);
+        out.packString(claim.status().name());
+        writeAnswer(claim.answer(), out);
+        out.packLong(claim.overdueInNanos()).packLong(claim.expiresInNanos());
     }
 
-    private static TransferredClaim readAttempt(MessageUnpacker in) throws IOException {
+    private static TransferredClaim readClaim(MessageUnpacker in) throws IOException {
         return new TransferredClaim(
                 in.unpackString(),
                 in.unpackString(),
@@ -154,9 +154,9 @@
         int status = in.unpackInt();
         List<Header> headers = readList(ClaimCodecs::readHeader, in);
         int length = in.unpackBinaryHeader();
-        if (length > ClaimLimits.LARGEST_KEPT_ANSWER) {
+        if (length > ClaimLimits.MAX_KEPT_ANSWER_BYTES) {
             throw new IOException(
-                    "answer of " + length + " bytes, expected at most " + ClaimLimits.LARGEST_KEPT_ANSWER);
+                    "answer of " + length + " bytes, expected at most " + ClaimLimits.MAX_KEPT_ANSWER_BYTES);
         }
         return Optional.of(new Answer(status, headers, in.readPayload(length)));
     }
@@ -178,8 +178,8 @@
 
     private static <T> List<T> readList(Reader<T> reader, MessageUnpacker in) throws IOException {
         int size = in.unpackArrayHeader();
-        if (size > LONGEST_LIST) {
-            throw new IOException("list of " + size + " entries, expected at most " + LONGEST_LIST);
+        if (size > MAX_LIST_ENTRIES) {
+            throw new IOException("list of " + size + " entries, expected at most " + MAX_LIST_ENTRIES);
         }
         List<T> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCoverage.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCoverage.java
@@ -12,97 +12,100 @@
 import java.util.Set;
 
 /**
- * Whether this VM can know all attempts of the window with a key.
+ * Decides whether this VM, as a holder of a key, has all claim records of the key from the retention window.
  *
- * <p>It can't before its pull at start is complete; nor, for some time after a change of the VM list, for the keys that
- * it was not a holder of before; nor, for one window, for keys whose holders were nearly all lost at once.
+ * <p>It doesn't before its pull at start is complete; nor, for {@link ClaimLimits#SETTLING_TIME} after a change of the
+ * VM list, for keys that it was not a holder of before; nor, for one window, for keys of which nearly all holders were
+ * lost at once. A VM is lost if it is removed from the VM list or restarts without being marked as leaving.
  */
 public final class ClaimCoverage {
-    /** The incarnation of a VM that only the platform's list has named so far. */
+    /** The incarnation of a VM that is known only from the VM list published by the platform. */
     private static final long INCARNATION_UNKNOWN = 0;
 
     private final String self;
     private final long startNanos;
     private final Map<String, Vm> listed = new HashMap<>();
-    private final Set<String> answered = new HashSet<>();
-    private final Set<String> answeredKnowing = new HashSet<>();
-    private final Map<String, Long> lostAt = new HashMap<>();
+    private final Set<String> pulledFrom = new HashSet<>();
+    private final Set<String> pulledWithHistory = new HashSet<>();
+    private final Map<String, Long> lostAtNanos = new HashMap<>();
     private final Set<String> lostBeforeStart = new HashSet<>();
     private final Deque<FormerView> formerViews = new ArrayDeque<>();
-    private final List<Damage> damages = new ArrayList<>();
+    private final List<HolderLoss> holderLosses = new ArrayList<>();
     private FleetView current;
 
-    /** Returns the history of a VM that starts now. */
+    /** Creates the coverage of a VM that starts now. */
     public ClaimCoverage(FleetView view, long nowNanos) {
         this.self = view.self().id();
         this.startNanos = nowNanos;
         this.current = view;
-        list(view).forEach(vm -> listed.put(vm.id(), vm));
+        publishedVms(view).forEach(vm -> listed.put(vm.id(), vm));
     }
 
-    /** Takes over a view of the fleet. */
+    /** Applies a view of the fleet. */
     public void onFleet(FleetView view, long nowNanos) {
         prune(nowNanos);
         formerViews.addLast(new FormerView(current, nowNanos));
         current = view;
-        Map<String, Vm> now = new HashMap<>();
-        list(view).forEach(vm -> now.put(vm.id(), vm));
-        listed.values().stream().filter(before -> isLost(before, now)).forEach(vm -> lostAt.put(vm.id(), nowNanos));
+        Map<String, Vm> newlyListed = new HashMap<>();
+        publishedVms(view).forEach(vm -> newlyListed.put(vm.id(), vm));
+        listed.values().stream()
+                .filter(before -> isLost(before, newlyListed))
+                .forEach(vm -> lostAtNanos.put(vm.id(), nowNanos));
         listed.clear();
-        listed.putAll(now);
-        noteDamage(nowNanos);
+        listed.putAll(newlyListed);
+        recordHolderLoss(nowNanos);
     }
 
     /**
-     * Takes in that a peer has answered the whole pull.
+     * Records that a peer has sent all pages of the pull.
      *
-     * @param knowing whether the peer itself knew the attempts made before its start
-     * @param lost the VMs that the peer saw leave the list without a handover
+     * @param historyKnown whether the peer itself had the claim records from before its start
+     * @param lost the VMs that the peer recorded as lost
      */
-    public void onPullComplete(String peer, boolean knowing, List<String> lost) {
-        answered.add(peer);
+    public void onPullComplete(String peer, boolean historyKnown, List<String> lost) {
+        pulledFrom.add(peer);
         lostBeforeStart.addAll(lost);
-        if (knowing) {
-            answeredKnowing.add(peer);
+        if (historyKnown) {
+            pulledWithHistory.add(peer);
         }
     }
 
-    /** Returns the peers that are still to be pulled from. */
+    /** Returns the peers from which claim records must still be pulled. */
     public List<String> peersToPull(long nowNanos) {
         if (nowNanos - startNanos >= ClaimLimits.WINDOW.toNanos()
                 || nowNanos - startNanos < ClaimLimits.SETTLING_TIME.toNanos()) {
             return List.of();
         }
         return listed.values().stream()
-                .filter(this::isElder)
+                .filter(this::mayHaveStartedBefore)
                 .map(Vm::id)
-                .filter(id -> !answered.contains(id) || (isLost(id) && !answeredKnowing.contains(id)))
+                .filter(id -> !pulledFrom.contains(id) || (isLost(id) && !pulledWithHistory.contains(id)))
                 .sorted()
                 .toList();
     }
 
-    /** Returns whether this VM knows the attempts that were made before it started. */
+    /** Returns whether this VM has the claim records from before its start. */
     public boolean isComplete(long nowNanos) {
         long age = nowNanos - startNanos;
         return age >= ClaimLimits.WINDOW.toNanos()
-                || (age >= ClaimLimits.SETTLING_TIME.toNanos() && unaccounted() <= ClaimLimits.LARGEST_LOSS);
+                || (age >= ClaimLimits.SETTLING_TIME.toNanos() && countUnaccountedVms() <= ClaimLimits.MAX_LOST_VMS);
     }
 
-    /** Returns whether this VM can know all attempts of the window with the key. */
+    /** Returns whether this VM has all claim records of the key from the window. */
     public boolean covers(String key, long nowNanos) {
         if (!isComplete(nowNanos)) {
             return false;
         }
         prune(nowNanos);
-        boolean settled = formerViews.stream()
+        boolean wasAlwaysHolder = formerViews.stream()
                 .allMatch(former -> holders(former.view(), key).contains(self));
-        return settled && damages.stream().noneMatch(damage -> damage.concerns(key));
+        return wasAlwaysHolder && holderLosses.stream().noneMatch(loss -> loss.affects(key));
     }
 
-    /** Returns the VMs that were lost without a handover within the window. */
+    /** Returns the VMs that were lost within the window. */
     public List<String> lostVms(long nowNanos) {
         prune(nowNanos);
-        return lostAt.keySet().stream().sorted().toList();
+        return lostAtNanos.keySet().stream().sorted().toList();
     }
 
     /** Returns the ids of the holders of the key in the given view, best-ranked first. */
@@ -113,49 +116,49 @@
     }
 
     /**
-     * Returns the number of VMs that may hold claims of which this one has not heard. The new start of a lost VM stands
-     * for it only once it knows itself what the lost one knew.
+     * Returns the number of VMs that may hold claim records that this one has not received. The pull from a restarted
+     * VM replaces one from the lost incarnation only after the restarted VM has itself recovered the earlier records.
      */
-    private int unaccounted() {
+    private int countUnaccountedVms() {
         Set<String> unaccounted = new HashSet<>();
-        listed.values().stream().filter(this::isElder).map(Vm::id).forEach(unaccounted::add);
-        unaccounted.removeAll(answered);
+        listed.values().stream().filter(this::mayHaveStartedBefore).map(Vm::id).forEach(unaccounted::add);
+        unaccounted.removeAll(pulledFrom);
         unaccounted.addAll(lostBeforeStart);
-        unaccounted.addAll(lostAt.keySet());
-        unaccounted.removeAll(answeredKnowing);
+        unaccounted.addAll(lostAtNanos.keySet());
+        unaccounted.removeAll(pulledWithHistory);
         return unaccounted.size();
     }
 
     private boolean isLost(String id) {
-        return lostBeforeStart.contains(id) || lostAt.containsKey(id);
+        return lostBeforeStart.contains(id) || lostAtNanos.containsKey(id);
     }
 
-    private boolean isElder(Vm vm) {
+    private boolean mayHaveStartedBefore(Vm vm) {
         long latest = current.self().incarnation() + ClaimLimits.INCARNATION_SLACK.toMillis();
         return !vm.id().equals(self) && vm.incarnation() <= latest;
     }
 
-    private void noteDamage(long nowNanos) {
-        Set<String> recent = new HashSet<>();
-        lostAt.forEach((id, at) -> {
+    private void recordHolderLoss(long nowNanos) {
+        Set<String> recentlyLost = new HashSet<>();
+        lostAtNanos.forEach((id, at) -> {
             if (nowNanos - at < ClaimLimits.SETTLING_TIME.toNanos()) {
-                recent.add(id);
+                recentlyLost.add(id);
             }
         });
-        if (recent.size() > ClaimLimits.LARGEST_LOSS) {
+        if (recentlyLost.size() > ClaimLimits.MAX_LOST_VMS) {
             FleetView before = formerViews.getFirst().view();
-            damages.add(new Damage(before, recent, nowNanos + ClaimLimits.WINDOW.toNanos()));
+            holderLosses.add(new HolderLoss(before, recentlyLost, nowNanos + ClaimLimits.WINDOW.toNanos()));
         }
     }
 
     private void prune(long nowNanos) {
         formerViews.removeIf(former -> nowNanos - former.replacedNanos() >= ClaimLimits.SETTLING_TIME.toNanos());
-        damages.removeIf(damage -> nowNanos - damage.untilNanos() >= 0);
-        lostAt.values().removeIf(at -> nowNanos - at >= ClaimLimits.WINDOW.toNanos());
+        holderLosses.removeIf(loss -> nowNanos - loss.untilNanos() >= 0);
+        lostAtNanos.values().removeIf(at -> nowNanos - at >= ClaimLimits.WINDOW.toNanos());
     }
 
-    private static boolean isLost(Vm before, Map<String, Vm> now) {
-        Vm after = now.get(before.id());
+    private static boolean isLost(Vm before, Map<String, Vm> newlyListed) {
+        Vm after = newlyListed.get(before.id());
         if (before.leaving()) {
             return false;
         }
@@ -165,15 +168,15 @@
         return before.incarnation() != INCARNATION_UNKNOWN && after.incarnation() != before.incarnation();
     }
 
-    private static List<Vm> list(FleetView view) {
+    private static List<Vm> publishedVms(FleetView view) {
         return view.rankedPublished("", Integer.MAX_VALUE);
     }
 
     private record FormerView(FleetView view, long replacedNanos) {}
 
-    private record Damage(FleetView before, Set<String> lost, long untilNanos) {
-        boolean concerns(String key) {
-            return holders(before, key).stream().filter(lost::contains).count() > ClaimLimits.LARGEST_LOSS;
+    private record HolderLoss(FleetView before, Set<String> lost, long untilNanos) {
+        boolean affects(String key) {
+            return holders(before, key).stream().filter(lost::contains).count() > ClaimLimits.MAX_LOST_VMS;
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
@@ -8,48 +8,50 @@
 /** The messages of the claims on idempotency keys. */
 public sealed interface ClaimMessage extends PeerMessage {
     /**
-     * Claims a key for an attempt.
+     * Claims a key for a request.
      *
-     * @param remainingMillis the time until the deadline of the attempt
+     * @param requestId the id of the request
+     * @param remainingMillis the time until the deadline of the request
      */
-    record ClaimRequest(String key, RequestDigest digest, String attempt, long remainingMillis)
+    record ClaimRequest(String key, RequestDigest digest, String requestId, long remainingMillis)
             implements ClaimMessage {}
 
-    /** Answers a {@link ClaimRequest}. */
-    record ClaimReply(HolderDecision answer) implements ClaimMessage {}
+    /** The reply to a {@link ClaimRequest}. */
+    record ClaimReply(HolderDecision decision) implements ClaimMessage {}
 
     /**
-     * Tells how an attempt ended.
+     * Reports how a request ended.
      *
-     * @param answer the whole answer if it ran and is small enough to be kept
+     * @param requestId the id of the request
+     * @param answer the complete answer if the request ran and the answer is small enough to be kept
      */
     record ClaimCompletion(
-            String key, RequestDigest digest, String attempt, ClaimStatus status, Optional<Answer> answer)
+            String key, RequestDigest digest, String requestId, ClaimStatus status, Optional<Answer> answer)
             implements ClaimMessage {}
 
     /** Confirms a {@link ClaimCompletion} or a {@link ClaimPush}. */
     record ClaimConfirmation() implements ClaimMessage {}
 
     /**
-     * Asks for the attempts of the keys that the sender is a holder of.
+     * Requests a page of the claim records of the keys that the sender is a holder of.
      *
-     * @param after the last key of the page before, empty string for the first page
+     * @param after the last key of the previous page, empty string for the first page
      */
     record ClaimPull(String after) implements ClaimMessage {}
 
     /**
-     * Answers a {@link ClaimPull}.
+     * The reply to a {@link ClaimPull}.
      *
-     * @param attempts the attempts
-     * @param last the last key that was looked at
-     * @param complete whether nothing follows
-     * @param historyKnown whether the sender knows the attempts that were made before it started
-     * @param lost the VMs that the sender saw leave the list within the window without a handover
+     * @param attempts the claim records
+     * @param last the last key that the page covers
+     * @param complete whether this is the last page
+     * @param historyKnown whether the sender has the claim records from before its start
+     * @param lost the VMs that the sender recorded as lost within the window
      */
     record ClaimPage(
             List<TransferredClaim> attempts, String last, boolean complete, boolean historyKnown, List<String> lost)
             implements ClaimMessage {}
 
-    /** Hands attempts to a VM that has become a holder of their keys. */
-    record ClaimPush(List<TransferredClaim> attempts) implements ClaimMessage {}
+    /** Sends claim records to a VM that has become a holder of their keys. */
+    record ClaimPush(List<TransferredClaim> claims) implements ClaimMessage {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Asks the holders of a key, and tells them how the attempt ended. Safe for use by several threads. */
+/** Sends claims and outcomes of requests to the holders of their keys. Safe for use by several threads. */
 public final class ClaimRequester {
     private final HolderState holder;
     private final PeerExchange peers;
@@ -23,7 +23,7 @@
     private final ControlThread control;
     private final TimeSource time;
 
-    /** Returns a requester that uses the given services. */
+    /** Creates a requester that uses the given components. */
     public ClaimRequester(
             HolderState holder, PeerExchange peers, FleetView.Source fleet, ControlThread control, TimeSource time) {
         this.holder = holder;
@@ -33,7 +33,7 @@
         this.time = time;
     }
 
-    /** Registers the handlers of a holder. */
+    /** Registers the codecs and handlers of claims and completions. */
     public void registerHandlers() {
         peers.register(ClaimCodecs.reply());
         peers.register(ClaimCodecs.confirmation());
@@ -46,30 +46,32 @@
         });
     }
 
-    /** Claims the key; an attempt that does not get it is told to the holders as not run. */
+    /** Claims the key; if this does not succeed, the request is reported to the holders as not run. */
     public CompletableFuture<ClaimResult> claim(ClaimRequest request) {
         FleetView view = fleet.current();
         List<String> ids = ClaimCoverage.holders(view, request.key());
         ClaimRound round = new ClaimRound(ids);
         CompletableFuture<ClaimResult> result = new CompletableFuture<>();
-        round.verdict().ifPresent(result::complete);
+        round.result().ifPresent(result::complete);
         for (String id : ids) {
-            var unused = ask(view, id, request).thenAccept(answer -> onAnswer(round, id, answer, result));
+            var unused = sendClaim(view, id, request).thenAccept(decision -> onReply(round, id, decision, result));
         }
-        return result.whenComplete((verdict, failure) -> {
-            if (!(verdict instanceof ClaimResult.Claimed)) {
+        return result.whenComplete((claimed, failure) -> {
+            if (!(claimed instanceof ClaimResult.Claimed)) {
                 complete(notRun(request));
             }
         });
     }
 
-    /** Tells the holders how the attempt ended, again until each has confirmed it. */
+    /**
+     * Reports how the request ended to each holder, repeatedly until the holder confirms it or the maximum is reached.
+     */
     public void complete(ClaimCompletion completion) {
         FleetView view = fleet.current();
-        ClaimCoverage.holders(view, completion.key()).forEach(id -> tell(view, id, completion, 1));
+        ClaimCoverage.holders(view, completion.key()).forEach(id -> sendCompletion(view, id, completion, 1));
     }
 
-    private CompletableFuture<Optional<HolderDecision>> ask(FleetView view, String id, ClaimRequest request) {
+    private CompletableFuture<Optional<HolderDecision>> sendClaim(FleetView view, String id, ClaimRequest request) {
         if (id.equals(view.self().id())) {
             return CompletableFuture.completedFuture(Optional.of(holder.claim(request, time.nanos())));
         }
@@ -77,26 +79,26 @@
         if (target.isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        return peers.request(target.get(), request, ClaimLimits.CLAIM_TIMEOUT).thenApply(ClaimRequester::answer);
+        return peers.request(target.get(), request, ClaimLimits.CLAIM_TIMEOUT).thenApply(ClaimRequester::decision);
     }
 
-    private static Optional<HolderDecision> answer(PeerReply reply) {
+    private static Optional<HolderDecision> decision(PeerReply reply) {
         boolean answered = reply instanceof PeerReply.Received received && received.message() instanceof ClaimReply;
         return answered
-                ? Optional.of(((ClaimReply) ((PeerReply.Received) reply).message()).answer())
+                ? Optional.of(((ClaimReply) ((PeerReply.Received) reply).message()).decision())
                 : Optional.empty();
     }
 
-    private static void onAnswer(
-            ClaimRound round, String id, Optional<HolderDecision> answer, CompletableFuture<ClaimResult> result) {
-        Optional<ClaimResult> verdict;
+    private static void onReply(
+            ClaimRound round, String id, Optional<HolderDecision> decision, CompletableFuture<ClaimResult> result) {
+        Optional<ClaimResult> decided;
         synchronized (round) {
-            verdict = answer.isPresent() ? round.onReply(id, answer.get()) : round.onNoReply(id);
+            decided = decision.isPresent() ? round.onReply(id, decision.get()) : round.onNoReply(id);
         }
-        verdict.ifPresent(result::complete);
+        decided.ifPresent(result::complete);
     }
 
-    private void tell(FleetView view, String id, ClaimCompletion completion, int sends) {
+    private void sendCompletion(FleetView view, String id, ClaimCompletion completion, int sendCount) {
         if (id.equals(view.self().id())) {
             holder.complete(completion, time.nanos());
             return;
@@ -105,19 +107,21 @@
         if (target.isEmpty()) {
             return;
         }
-        var unused = peers.request(target.get(), completion, ClaimLimits.COMPLETION_RETRY)
-                .thenAccept(reply -> tellAgainUnlessConfirmed(id, completion, sends, reply));
+        var unused = peers.request(target.get(), completion, ClaimLimits.COMPLETION_RETRY_INTERVAL)
+                .thenAccept(reply -> resendUnlessConfirmed(id, completion, sendCount, reply));
     }
 
-    private void tellAgainUnlessConfirmed(String id, ClaimCompletion completion, int sends, PeerReply reply) {
-        if (reply instanceof PeerReply.Received || sends >= ClaimLimits.COMPLETION_SENDS) {
+    private void resendUnlessConfirmed(String id, ClaimCompletion completion, int sendCount, PeerReply reply) {
+        if (reply instanceof PeerReply.Received || sendCount >= ClaimLimits.MAX_COMPLETION_SENDS) {
             return;
         }
-        control.after(ClaimLimits.COMPLETION_RETRY, () -> tell(fleet.current(), id, completion, sends + 1));
+        control.after(
+                ClaimLimits.COMPLETION_RETRY_INTERVAL,
+                () -> sendCompletion(fleet.current(), id, completion, sendCount + 1));
     }
 
     private static ClaimCompletion notRun(ClaimRequest request) {
         return new ClaimCompletion(
-                request.key(), request.digest(), request.attempt(), ClaimStatus.NOT_RUN, Optional.empty());
+                request.key(), request.digest(), request.requestId(), ClaimStatus.NOT_RUN, Optional.empty());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
@@ -8,53 +8,54 @@
 import java.util.Set;
 
 /**
- * One request's claim on its key: counts what the holders say until it is decided. Not safe for use by several threads.
+ * One request's claim on its key: collects the decisions of the holders until the result is determined. Not safe for
+ * use by several threads.
  */
 public final class ClaimRound {
-    private final Set<String> open;
+    private final Set<String> pending;
     private final Set<String> accepted = new HashSet<>();
     private final int quorum;
-    private Optional<ClaimResult> verdict = Optional.empty();
+    private Optional<ClaimResult> result = Optional.empty();
 
     /**
-     * Returns a round that asks the given holders.
+     * Creates a round with the given holders.
      *
      * @param holders the ids of the holders
      */
     public ClaimRound(List<String> holders) {
-        this.open = new HashSet<>(holders);
+        this.pending = new HashSet<>(holders);
         this.quorum = ClaimLimits.quorum(holders.size());
-        decideIfHopeless();
+        rejectIfQuorumUnreachable();
     }
 
-    /** Takes in what a holder says; returns the verdict if this decides the round. */
-    public Optional<ClaimResult> onReply(String holder, HolderDecision answer) {
-        if (verdict.isPresent() || !open.remove(holder)) {
+    /** Handles the decision of a holder; returns the result if this determines it. */
+    public Optional<ClaimResult> onReply(String holder, HolderDecision decision) {
+        if (result.isPresent() || !pending.remove(holder)) {
             return Optional.empty();
         }
-        if (answer.verdict() == HolderDecision.Kind.ACCEPTED) {
+        if (decision.kind() == HolderDecision.Kind.ACCEPTED) {
             accepted.add(holder);
         }
-        verdict = decide(answer);
-        decideIfHopeless();
-        return verdict;
+        result = determine(decision);
+        rejectIfQuorumUnreachable();
+        return result;
     }
 
-    /** Takes in that a holder does not answer; returns the verdict if this decides the round. */
+    /** Handles that a holder did not reply; returns the result if this determines it. */
     public Optional<ClaimResult> onNoReply(String holder) {
         return onReply(holder, HolderDecision.of(HolderDecision.Kind.NO_HISTORY));
     }
 
-    /** Returns the verdict, empty while it is open. */
-    public Optional<ClaimResult> verdict() {
-        return verdict;
+    /** Returns the result, empty while it is not determined. */
+    public Optional<ClaimResult> result() {
+        return result;
     }
 
-    private Optional<ClaimResult> decide(HolderDecision answer) {
-        return switch (answer.verdict()) {
+    private Optional<ClaimResult> determine(HolderDecision decision) {
+        return switch (decision.kind()) {
             case ACCEPTED -> accepted.size() >= quorum ? Optional.of(new ClaimResult.Claimed()) : Optional.empty();
             case RUN ->
-                Optional.of(answer.answer()
+                Optional.of(decision.answer()
                         .<ClaimResult>map(ClaimResult.Answered::new)
                         .orElseGet(() -> new ClaimResult.Rejected(ErrorKind.KEY_ANSWER_NOT_KEPT)));
             case RUNNING -> rejected(ErrorKind.KEY_RUNNING);
@@ -64,13 +65,13 @@
         };
     }
 
-    private void decideIfHopeless() {
-        if (verdict.isEmpty() && (quorum == 0 || accepted.size() + open.size() < quorum)) {
-            verdict = rejected(ErrorKind.KEY_UNDECIDED);
+    private void rejectIfQuorumUnreachable() {
+        if (result.isEmpty() && (quorum == 0 || accepted.size() + pending.size() < quorum)) {
+            result = rejected(ErrorKind.KEY_UNDECIDED);
         }
     }
 
-    private static Optional<ClaimResult> rejected(ErrorKind kind) {
-        return Optional.of(new ClaimResult.Rejected(kind));
+    private static Optional<ClaimResult> rejected(ErrorKind error) {
+        return Optional.of(new ClaimResult.Rejected(error));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimStatus.java
@@ -1,13 +1,16 @@
 package io.coppershelf.claim.internal;
 
-/** What a holder knows of an attempt; a later constant replaces an earlier one, whatever the order of arrival. */
+/**
+ * The status of a claiming request at a holder; a later constant replaces an earlier one in whichever order they
+ * arrive.
+ */
 public enum ClaimStatus {
-    /** Claimed; its end is not known yet. */
+    /** The key is claimed; the outcome of the request is not known yet. */
     RUNNING,
-    /** It ended without anyone knowing whether it ran. */
+    /** The request ended, and whether it ran is not known. */
     UNKNOWN,
-    /** It is proved that it did not run. */
+    /** The request is proven not to have run. */
     NOT_RUN,
-    /** It ran. */
+    /** The request ran. */
     RUN
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
@@ -11,37 +11,37 @@
 import java.util.function.Predicate;
 
 /**
- * The claims that one VM holds: by key, the attempts of the window. Its state is a join of what it was told, so that
- * the order and the repetition of messages make no difference. Not safe for use by several threads.
+ * The claim records that one VM holds, by key. Received updates are merged so that their order and duplicates make no
+ * difference to the state. Not safe for use by several threads.
  */
 public final class ClaimTable {
     private final int capacity;
-    private final TreeMap<String, Map<String, ClaimRecord>> attempts = new TreeMap<>();
+    private final TreeMap<String, Map<String, ClaimRecord>> claimsByKey = new TreeMap<>();
     private int size;
     private long answerBytes;
 
     /**
-     * Returns an empty table.
+     * Creates an empty table.
      *
-     * @param capacity the most attempts that it remembers
+     * @param capacity the maximum number of claim records
      */
     public ClaimTable(int capacity) {
         this.capacity = capacity;
     }
 
     /**
-     * Claims the key for an attempt, unless another attempt may have run.
+     * Claims the key for a request, unless another request with the key may have run.
      *
-     * @param remaining the time until the deadline of the attempt
+     * @param remaining the time until the deadline of the request
      */
-    public HolderDecision claim(String key, RequestDigest digest, String attempt, Duration remaining, long nowNanos) {
-        Map<String, ClaimRecord> known = attempts.getOrDefault(key, Map.of());
-        Optional<HolderDecision> obstacle = obstacle(known.values(), digest, attempt, nowNanos);
-        if (obstacle.isPresent()) {
-            return obstacle.get();
+    public HolderDecision claim(String key, RequestDigest digest, String requestId, Duration remaining, long nowNanos) {
+        Map<String, ClaimRecord> known = claimsByKey.getOrDefault(key, Map.of());
+        Optional<HolderDecision> conflict = conflict(known.values(), digest, requestId, nowNanos);
+        if (conflict.isPresent()) {
+            return conflict.get();
         }
-        if (known.containsKey(attempt)) {
-            boolean running = known.get(attempt).status(nowNanos) == ClaimStatus.RUNNING;
+        if (known.containsKey(requestId)) {
+            boolean running = known.get(requestId).status(nowNanos) == ClaimStatus.RUNNING;
             return HolderDecision.of(running ? HolderDecision.Kind.ACCEPTED : HolderDecision.Kind.RUNNING);
         }
         if (isFull(nowNanos)) {
@@ -51,101 +51,102 @@
         put(
                 key,
                 new ClaimRecord(
-                        attempt, digest, ClaimStatus.RUNNING, Optional.empty(), overdue, forgetNanos(nowNanos)));
+                        requestId, digest, ClaimStatus.RUNNING, Optional.empty(), overdue, expiryNanos(nowNanos)));
         return HolderDecision.of(HolderDecision.Kind.ACCEPTED);
     }
 
     /**
-     * Takes in the end of an attempt.
+     * Records how a request ended.
      *
-     * @param answer the whole answer if it ran and is to be kept
+     * @param answer the complete answer if the request ran and the answer is to be kept
      */
     public void complete(
             String key,
             RequestDigest digest,
-            String attempt,
+            String requestId,
             ClaimStatus status,
             Optional<Answer> answer,
             long nowNanos) {
-        put(key, new ClaimRecord(attempt, digest, status, answer, nowNanos, forgetNanos(nowNanos)));
+        put(key, new ClaimRecord(requestId, digest, status, answer, nowNanos, expiryNanos(nowNanos)));
     }
 
-    /** Takes in what another holder knows. */
+    /** Merges a claim record of another holder. */
     public void merge(TransferredClaim transferred, long nowNanos) {
-        ClaimRecord attempt = transferred.toRecord(nowNanos);
-        if (!attempt.isExpired(nowNanos)) {
-            put(transferred.key(), attempt);
+        ClaimRecord claim = transferred.toRecord(nowNanos);
+        if (!claim.isExpired(nowNanos)) {
+            put(transferred.key(), claim);
         }
     }
 
     /**
-     * Returns the next attempts for a transfer, in the order of their keys, whole keys at a time.
+     * Returns the next claim records of a transfer, in the order of their keys; the records of one key are on one page.
      *
-     * @param after the last key of the page before, empty string for the first page
-     * @param wanted which keys to transfer
+     * @param after the last key of the previous page, empty string for the first page
+     * @param filter the keys to transfer
      */
-    public Page page(String after, Predicate<String> wanted, long nowNanos) {
+    public Page page(String after, Predicate<String> filter, long nowNanos) {
         List<TransferredClaim> page = new ArrayList<>();
         String last = after;
         long bytes = 0;
         for (Map.Entry<String, Map<String, ClaimRecord>> entry :
-                attempts.tailMap(after, false).entrySet()) {
+                claimsByKey.tailMap(after, false).entrySet()) {
             if (page.size() >= ClaimLimits.PAGE_SIZE || bytes >= ClaimLimits.PAGE_BYTES) {
                 return new Page(page, last, false);
             }
             last = entry.getKey();
-            if (!wanted.test(last)) {
+            if (!filter.test(last)) {
                 continue;
             }
-            for (ClaimRecord attempt : entry.getValue().values()) {
-                page.add(TransferredClaim.of(last, attempt, nowNanos));
-                bytes += attempt.answerBytes();
+            for (ClaimRecord claim : entry.getValue().values()) {
+                page.add(TransferredClaim.of(last, claim, nowNanos));
+                bytes += claim.answerBytes();
             }
         }
         return new Page(page, last, true);
     }
 
-    /** Forgets the attempts that are older than the window. */
+    /** Removes expired claim records. */
     public void prune(long nowNanos) {
-        attempts.values()
-                .forEach(known -> known.values().removeIf(attempt -> {
-                    if (!attempt.isExpired(nowNanos)) {
+        claimsByKey
+                .values()
+                .forEach(known -> known.values().removeIf(claim -> {
+                    if (!claim.isExpired(nowNanos)) {
                         return false;
                     }
-                    uncount(attempt);
+                    subtract(claim);
                     return true;
                 }));
-        attempts.values().removeIf(Map::isEmpty);
+        claimsByKey.values().removeIf(Map::isEmpty);
     }
 
-    /** Returns the number of attempts that are remembered. */
+    /** Returns the number of claim records. */
     public int size() {
         return size;
     }
 
-    /** Returns the bytes of the answers that are kept. */
+    /** Returns the total size of the kept answers in bytes. */
     public long answerBytes() {
         return answerBytes;
     }
 
-    private static Optional<HolderDecision> obstacle(
-            Collection<ClaimRecord> known, RequestDigest digest, String own, long nowNanos) {
+    private static Optional<HolderDecision> conflict(
+            Collection<ClaimRecord> known, RequestDigest digest, String ownId, long nowNanos) {
         List<ClaimRecord> others = known.stream()
-                .filter(attempt -> !attempt.id().equals(own) && !attempt.isExpired(nowNanos))
-                .filter(attempt -> attempt.status() != ClaimStatus.NOT_RUN)
+                .filter(claim -> !claim.requestId().equals(ownId) && !claim.isExpired(nowNanos))
+                .filter(claim -> claim.status() != ClaimStatus.NOT_RUN)
                 .toList();
-        if (others.stream().anyMatch(attempt -> !attempt.digest().equals(digest))) {
+        if (others.stream().anyMatch(claim -> !claim.digest().equals(digest))) {
             return Optional.of(HolderDecision.of(HolderDecision.Kind.REUSED));
         }
         return others.stream()
                 .max((a, b) -> a.status(nowNanos).compareTo(b.status(nowNanos)))
-                .map(attempt -> obstacle(attempt, nowNanos));
+                .map(claim -> conflict(claim, nowNanos));
     }
 
-    private static HolderDecision obstacle(ClaimRecord attempt, long nowNanos) {
-        return switch (attempt.status(nowNanos)) {
+    private static HolderDecision conflict(ClaimRecord claim, long nowNanos) {
+        return switch (claim.status(nowNanos)) {
             case RUNNING -> HolderDecision.of(HolderDecision.Kind.RUNNING);
-            case RUN -> new HolderDecision(HolderDecision.Kind.RUN, attempt.answer());
+            case RUN -> new HolderDecision(HolderDecision.Kind.RUN, claim.answer());
             default -> HolderDecision.of(HolderDecision.Kind.UNKNOWN);
         };
     }
@@ -158,49 +159,49 @@
         return size >= capacity;
     }
 
-    private void put(String key, ClaimRecord news) {
-        Map<String, ClaimRecord> known = attempts.computeIfAbsent(key, name -> new TreeMap<>());
-        ClaimRecord before = known.get(news.id());
-        ClaimRecord after = before == null ? news : before.merge(news);
+    private void put(String key, ClaimRecord update) {
+        Map<String, ClaimRecord> known = claimsByKey.computeIfAbsent(key, name -> new TreeMap<>());
+        ClaimRecord before = known.get(update.requestId());
+        ClaimRecord after = before == null ? update : before.merge(update);
         if (before != null) {
-            uncount(before);
+            subtract(before);
         }
         ClaimRecord kept = fits(after) ? after : withoutAnswer(after);
-        known.put(kept.id(), kept);
+        known.put(kept.requestId(), kept);
         size++;
         answerBytes += kept.answerBytes();
     }
 
-    private boolean fits(ClaimRecord attempt) {
-        return attempt.answerBytes() <= ClaimLimits.LARGEST_KEPT_ANSWER
-                && answerBytes + attempt.answerBytes() <= ClaimLimits.LARGEST_ANSWER_BYTES;
+    private boolean fits(ClaimRecord claim) {
+        return claim.answerBytes() <= ClaimLimits.MAX_KEPT_ANSWER_BYTES
+                && answerBytes + claim.answerBytes() <= ClaimLimits.MAX_TOTAL_ANSWER_BYTES;
     }
 
-    private static ClaimRecord withoutAnswer(ClaimRecord attempt) {
+    private static ClaimRecord withoutAnswer(ClaimRecord claim) {
         return new ClaimRecord(
-                attempt.id(),
-                attempt.digest(),
-                attempt.status(),
+                claim.requestId(),
+                claim.digest(),
+                claim.status(),
                 Optional.empty(),
-                attempt.overdueNanos(),
-                attempt.forgetNanos());
+                claim.overdueNanos(),
+                claim.expiryNanos());
     }
 
-    private void uncount(ClaimRecord attempt) {
+    private void subtract(ClaimRecord claim) {
         size--;
-        answerBytes -= attempt.answerBytes();
+        answerBytes -= claim.answerBytes();
     }
 
-    private static long forgetNanos(long nowNanos) {
+    private static long expiryNanos(long nowNanos) {
         return nowNanos + ClaimLimits.WINDOW.toNanos();
     }
 
     /**
-     * Part of a transfer.
+     * A page of a transfer.
      *
-     * @param attempts the attempts
-     * @param last the last key that was looked at
-     * @param complete whether nothing follows
+     * @param claims the claim records
+     * @param last the last key that the page covers
+     * @param complete whether this is the last page
      */
-    public record Page(List<TransferredClaim> attempts, String last, boolean complete) {}
+    public record Page(List<TransferredClaim> claims, String last, boolean complete) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
@@ -25,56 +25,56 @@
 import java.util.function.Function;
 
 /**
- * Moves claims between VMs: a VM that starts pulls them from all peers, holders push them to VMs that become holders of
- * their keys, and a VM that stops hands its own over.
+ * Transfers claim records between VMs. A VM that starts pulls them from all peers, holders push them to VMs that become
+ * holders of their keys, and a VM that stops hands over its own.
  */
 public final class ClaimTransfer {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int PULLS_AT_ONCE = 8;
+    private static final int MAX_CONCURRENT_PULLS = 8;
 
     private final HolderState holder;
     private final PeerExchange peers;
     private final FleetView.Source fleet;
     private final TimeSource time;
     private final Set<String> pulling = ConcurrentHashMap.newKeySet();
-    private FleetView before;
+    private FleetView lastView;
 
-    /** Returns a transfer that uses the given services. */
+    /** Creates a transfer that uses the given components. */
     public ClaimTransfer(HolderState holder, PeerExchange peers, FleetView.Source fleet, TimeSource time) {
         this.holder = holder;
         this.peers = peers;
         this.fleet = fleet;
         this.time = time;
-        this.before = fleet.current();
+        this.lastView = fleet.current();
     }
 
-    /** Registers the handlers of a holder. */
+    /** Registers the codecs and handlers of pulls and pushes. */
     public void registerHandlers() {
         peers.register(ClaimCodecs.page());
         peers.register(ClaimCodecs.pull(), this::onPull);
         peers.register(ClaimCodecs.push(), (sender, push, replies) -> {
-            holder.merge(push.attempts(), time.nanos());
+            holder.merge(push.claims(), time.nanos());
             replies.reply(new ClaimConfirmation());
         });
     }
 
-    /** Takes over a view of the fleet and pushes claims to new holders, now and once more. */
+    /** Applies a view of the fleet; if the VM list changed, pushes claim records to new holders, now and once more. */
     public void onFleet(ControlThread control) {
-        FleetView former = before;
+        FleetView former = lastView;
         FleetView view = fleet.current();
-        if (list(former).equals(list(view))) {
+        if (publishedVms(former).equals(publishedVms(view))) {
             return;
         }
-        before = view;
+        lastView = view;
         holder.onFleet(view, time.nanos());
         push(former, view);
-        control.after(ClaimLimits.SECOND_PUSH, () -> push(former, view));
+        control.after(ClaimLimits.SECOND_PUSH_DELAY, () -> push(former, view));
     }
 
-    /** Starts pulls from peers that have not answered one yet. */
+    /** Starts pulls from peers that have not completed one yet. */
     public void pullFromMissingPeers() {
         for (String id : holder.peersToPull(time.nanos())) {
-            if (pulling.size() >= PULLS_AT_ONCE) {
+            if (pulling.size() >= MAX_CONCURRENT_PULLS) {
                 return;
             }
             if (pulling.add(id)) {
@@ -83,25 +83,26 @@
         }
     }
 
-    /** Hands all claims over to the VMs that hold their keys once this one is gone; waits for at most the limit. */
+    /** Sends all claim records to the VMs that become holders when this one stops; waits for at most the limit. */
     public void handOver(Duration limit) {
         FleetView view = fleet.current();
         String self = view.self().id();
         await(
                 pushAll(key -> {
-                    List<String> next = view.rankedPublished("claim/" + key, ClaimLimits.HOLDERS + 1).stream()
-                            .map(Vm::id)
-                            .filter(id -> !id.equals(self))
-                            .toList();
-                    return next.subList(Math.max(0, next.size() - 1), next.size());
+                    List<String> remainingHolders =
+                            view.rankedPublished("claim/" + key, ClaimLimits.HOLDERS + 1).stream()
+                                    .map(Vm::id)
+                                    .filter(id -> !id.equals(self))
+                                    .toList();
+                    return remainingHolders.subList(Math.max(0, remainingHolders.size() - 1), remainingHolders.size());
                 }),
                 limit);
     }
 
     private void onPull(String sender, ClaimPull pull, PeerExchange.Replies replies) {
         FleetView view = fleet.current();
-        boolean known = list(view).stream().anyMatch(vm -> vm.id().equals(sender));
-        if (!known) {
+        boolean isListed = publishedVms(view).stream().anyMatch(vm -> vm.id().equals(sender));
+        if (!isListed) {
             return;
         }
         replies.reply(holder.page(
@@ -119,8 +120,8 @@
     }
 
     private void onPage(String id, PeerReply reply) {
-        boolean answered = reply instanceof PeerReply.Received received && received.message() instanceof ClaimPage;
-        if (!answered) {
+        boolean isPage = reply instanceof PeerReply.Received received && received.message() instanceof ClaimPage;
+        if (!isPage) {
             pulling.remove(id);
             return;
         }
@@ -134,7 +135,7 @@
         pulling.remove(id);
     }
 
-    private static List<Vm> list(FleetView view) {
+    private static List<Vm> publishedVms(FleetView view) {
         return view.rankedPublished("", Integer.MAX_VALUE);
     }
 
@@ -148,34 +149,34 @@
     }
 
     private List<CompletableFuture<PeerReply>> pushAll(Function<String, List<String>> targets) {
-        List<CompletableFuture<PeerReply>> sends = new ArrayList<>();
+        List<CompletableFuture<PeerReply>> pushes = new ArrayList<>();
         ClaimPage page = holder.page("", key -> true, time.nanos());
-        sends.addAll(pushPage(page, targets));
+        pushes.addAll(pushPage(page, targets));
         while (!page.complete()) {
             page = holder.page(page.last(), key -> true, time.nanos());
-            sends.addAll(pushPage(page, targets));
+            pushes.addAll(pushPage(page, targets));
         }
-        return sends;
+        return pushes;
     }
 
     private List<CompletableFuture<PeerReply>> pushPage(ClaimPage page, Function<String, List<String>> targets) {
         Map<String, List<TransferredClaim>> byTarget = new TreeMap<>();
-        for (TransferredClaim attempt : page.attempts()) {
-            for (String target : targets.apply(attempt.key())) {
-                byTarget.computeIfAbsent(target, id -> new ArrayList<>()).add(attempt);
+        for (TransferredClaim claim : page.attempts()) {
+            for (String target : targets.apply(claim.key())) {
+                byTarget.computeIfAbsent(target, id -> new ArrayList<>()).add(claim);
             }
         }
-        List<CompletableFuture<PeerReply>> sends = new ArrayList<>();
-        byTarget.forEach((id, attempts) -> fleet.current()
+        List<CompletableFuture<PeerReply>> pushes = new ArrayList<>();
+        byTarget.forEach((id, claims) -> fleet.current()
                 .vm(id)
                 .ifPresent(
-                        target -> sends.add(peers.request(target, new ClaimPush(attempts), ClaimLimits.PULL_TIMEOUT))));
-        return sends;
+                        target -> pushes.add(peers.request(target, new ClaimPush(claims), ClaimLimits.PULL_TIMEOUT))));
+        return pushes;
     }
 
-    private static void await(List<CompletableFuture<PeerReply>> sends, Duration limit) {
+    private static void await(List<CompletableFuture<PeerReply>> pushes, Duration limit) {
         try {
-            CompletableFuture.allOf(sends.toArray(CompletableFuture[]::new))
+            CompletableFuture.allOf(pushes.toArray(CompletableFuture[]::new))
                     .get(limit.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException | ExecutionException e) {
             logger.atWarning().log("[claim] The handover was not confirmed by all peers within %s.", limit);
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderDecision.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderDecision.java
@@ -4,32 +4,32 @@
 import java.util.Optional;
 
 /**
- * What one holder says to a claim.
+ * The decision of one holder on a claim.
  *
- * @param verdict its verdict
- * @param answer the whole answer of the earlier attempt, if it ran and the answer is kept
+ * @param kind the kind of decision
+ * @param answer the complete answer to the earlier request, if it ran and the answer is kept
  */
-public record HolderDecision(Kind verdict, Optional<Answer> answer) {
-    /** Returns an answer without the answer of an earlier attempt. */
-    public static HolderDecision of(Kind verdict) {
-        return new HolderDecision(verdict, Optional.empty());
+public record HolderDecision(Kind kind, Optional<Answer> answer) {
+    /** Returns a decision without an answer. */
+    public static HolderDecision of(Kind kind) {
+        return new HolderDecision(kind, Optional.empty());
     }
 
-    /** The verdicts of a holder. */
+    /** The kinds of decisions. */
     public enum Kind {
-        /** The key is claimed for this attempt. */
+        /** The key is claimed for this request. */
         ACCEPTED,
-        /** Another attempt runs. */
+        /** Another request with the key is running. */
         RUNNING,
-        /** Another attempt ran. */
+        /** Another request with the key ran. */
         RUN,
-        /** Another attempt ended without anyone knowing whether it ran. */
+        /** Another request with the key ended, and whether it ran is not known. */
         UNKNOWN,
-        /** The key was used for another request. */
+        /** The key was used for a request with another method, target or body. */
         REUSED,
-        /** The holder can't know all attempts of the window. */
+        /** The holder may lack claim records of the window. */
         NO_HISTORY,
-        /** The holder has no room for another attempt. */
+        /** The holder has no capacity for another claim record. */
         FULL
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
@@ -10,82 +10,82 @@
 import java.util.function.Predicate;
 
 /**
- * What one VM knows as a holder: its table of claims and whether that is the whole truth. Safe for use by several
+ * The state of one VM as a holder: its claim records, and for which keys they are complete. Safe for use by several
  * threads.
  */
 public final class HolderState {
-    private final ClaimTable table = new ClaimTable(ClaimLimits.MOST_ATTEMPTS);
-    private final ClaimCoverage history;
+    private final ClaimTable table = new ClaimTable(ClaimLimits.MAX_CLAIM_RECORDS);
+    private final ClaimCoverage coverage;
 
-    /** Returns the state of a holder that starts now. */
+    /** Creates the state of a holder that starts now. */
     public HolderState(FleetView view, long nowNanos) {
-        history = new ClaimCoverage(view, nowNanos);
+        coverage = new ClaimCoverage(view, nowNanos);
     }
 
     /** Decides on a claim. */
     public synchronized HolderDecision claim(ClaimRequest request, long nowNanos) {
-        if (!history.covers(request.key(), nowNanos)) {
+        if (!coverage.covers(request.key(), nowNanos)) {
             return HolderDecision.of(HolderDecision.Kind.NO_HISTORY);
         }
         return table.claim(
                 request.key(),
                 request.digest(),
-                request.attempt(),
+                request.requestId(),
                 Duration.ofMillis(request.remainingMillis()),
                 nowNanos);
     }
 
-    /** Takes in the end of an attempt. */
+    /** Records how a request ended. */
     public synchronized void complete(ClaimCompletion completion, long nowNanos) {
         table.complete(
                 completion.key(),
                 completion.digest(),
-                completion.attempt(),
+                completion.requestId(),
                 completion.status(),
                 completion.answer(),
                 nowNanos);
     }
 
-    /** Takes in what another holder knows. */
-    public synchronized void merge(List<TransferredClaim> attempts, long nowNanos) {
-        attempts.forEach(attempt -> table.merge(attempt, nowNanos));
+    /** Merges claim records of another holder. */
+    public synchronized void merge(List<TransferredClaim> claims, long nowNanos) {
+        claims.forEach(claim -> table.merge(claim, nowNanos));
     }
 
     /** Returns the next page of a transfer. */
-    public synchronized ClaimPage page(String after, Predicate<String> wanted, long nowNanos) {
-        ClaimTable.Page page = table.page(after, wanted, nowNanos);
+    public synchronized ClaimPage page(String after, Predicate<String> filter, long nowNanos) {
+        ClaimTable.Page page = table.page(after, filter, nowNanos);
         return new ClaimPage(
-                page.attempts(), page.last(), page.complete(), history.isComplete(nowNanos), history.lostVms(nowNanos));
+                page.claims(), page.last(), page.complete(), coverage.isComplete(nowNanos), coverage.lostVms(nowNanos));
     }
 
-    /** Takes over a view of the fleet. */
+    /** Applies a view of the fleet. */
     public synchronized void onFleet(FleetView view, long nowNanos) {
-        history.onFleet(view, nowNanos);
+        coverage.onFleet(view, nowNanos);
     }
 
-    /** Takes in that a peer has answered the whole pull. */
-    public synchronized void onPullComplete(String peer, boolean knowing, List<String> lost) {
-        history.onPullComplete(peer, knowing, lost);
+    /** Records that a peer has sent all pages of the pull. */
+    public synchronized void onPullComplete(String peer, boolean historyKnown, List<String> lost) {
+        coverage.onPullComplete(peer, historyKnown, lost);
     }
 
-    /** Returns the peers that are still to be pulled from. */
+    /** Returns the peers from which claim records must still be pulled. */
     public synchronized List<String> peersToPull(long nowNanos) {
-        return history.peersToPull(nowNanos);
+        return coverage.peersToPull(nowNanos);
     }
 
-    /** Returns whether this VM knows the attempts that were made before it started. */
+    /** Returns whether this VM has the claim records from before its start. */
     public synchronized boolean isComplete(long nowNanos) {
-        return history.isComplete(nowNanos);
+        return coverage.isComplete(nowNanos);
     }
 
-    /** Forgets the attempts that are older than the window. */
+    /** Removes expired claim records. */
     public synchronized void prune(long nowNanos) {
         table.prune(nowNanos);
     }
 
-    /** Adds the figures of this holder to the status. */
+    /** Adds the statistics of this holder to the status. */
     public synchronized void describe(ObjectNode status, long nowNanos) {
-        status.put("complete", history.isComplete(nowNanos));
+        status.put("complete", coverage.isComplete(nowNanos));
         status.put("attempts", table.size());
         status.put("answerBytes", table.answerBytes());
     }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/RequestDigest.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/RequestDigest.java
@@ -7,7 +7,7 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * The first 128 bits of the SHA-256 digest over method, target and body of a request.
+ * The first 128 bits of the SHA-256 digest of method, target and body of a request.
  *
  * @param high the first 64 bits
  * @param low the next 64 bits
@@ -28,7 +28,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("SHA-256 is missing, expected in every Java runtime", e);
+            throw new IllegalStateException("SHA-256 is not available in this Java runtime", e);
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/TransferredClaim.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/TransferredClaim.java
@@ -4,36 +4,36 @@
 import java.util.Optional;
 
 /**
- * An attempt on its way from one holder to another; times are durations, since clocks are not synchronised.
+ * A claim record in a message between holders; times are durations, because clocks are not synchronised.
  *
  * @param key the key
- * @param id the id of the attempt
+ * @param requestId the id of the request
  * @param digest the digest of the request
- * @param status what became of it
- * @param answer the whole answer if it is kept
- * @param overdueInNanos the time until its end should be known by
- * @param forgetInNanos the time until it is to be forgotten
+ * @param status the last known status of the request
+ * @param answer the complete answer if it is kept
+ * @param overdueInNanos the time until a request without a reported outcome counts as unknown
+ * @param expiresInNanos the time until the record expires
  */
 public record TransferredClaim(
         String key,
-        String id,
+        String requestId,
         RequestDigest digest,
         ClaimStatus status,
         Optional<Answer> answer,
         long overdueInNanos,
-        long forgetInNanos) {
-    static TransferredClaim of(String key, ClaimRecord attempt, long nowNanos) {
+        long expiresInNanos) {
+    static TransferredClaim of(String key, ClaimRecord claim, long nowNanos) {
         return new TransferredClaim(
                 key,
-                attempt.id(),
-                attempt.digest(),
-                attempt.status(),
-                attempt.answer(),
-                attempt.overdueNanos() - nowNanos,
-                attempt.forgetNanos() - nowNanos);
+                claim.requestId(),
+                claim.digest(),
+                claim.status(),
+                claim.answer(),
+                claim.overdueNanos() - nowNanos,
+                claim.expiryNanos() - nowNanos);
     }
 
     ClaimRecord toRecord(long nowNanos) {
-        return new ClaimRecord(id, digest, status, answer, nowNanos + overdueInNanos, nowNanos + forgetInNanos);
+        return new ClaimRecord(requestId, digest, status, answer, nowNanos + overdueInNanos, nowNanos + expiresInNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/package-info.java
@@ -1,2 +1,2 @@
-/** State machines of the claims on idempotency keys: holder, requester, transfer. Pure decisions. */
+/** Claims on idempotency keys: the state of a holder, the requester, and the transfer between holders. */
 package io.coppershelf.claim.internal;
--- a/coppershelf/src/main/java/io/coppershelf/claim/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/package-info.java
@@ -1,2 +1,2 @@
-/** Claims on idempotency keys, so that a request repeated by its caller is not run twice. */
+/** Claims on idempotency keys, so that a request that its caller retries does not run twice. */
 package io.coppershelf.claim;
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldGrant.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldGrant.java
@@ -114,8 +114,8 @@
 
     /**
      * Handles the reply that the server is granted. The grant counts from before the request was sent. A renewal only
-     * extends a grant that is still live: the granter may have renewed it on the holder's claim that it was live,
-     * without treating it as a new one.
+     * extends a grant that is still live, because a new granter renews it during its takeover without treating it as a
+     * new grant.
      *
      * @return whether the grant is live now
      */
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
@@ -23,7 +23,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Attempts with one key through many VMs: at most one runs, while messages are lost, late and repeated. */
+/**
+ * Tests that at most one of several requests with the same key runs, while messages are lost, delayed and duplicated.
+ */
 class ClaimFleetTest {
     private static final int VMS = 9;
     private static final int SEEDS = 60;
@@ -38,54 +40,56 @@
     private final List<String> ids =
             IntStream.range(0, VMS).mapToObj(i -> "vm" + i).toList();
     private Random random = new Random(0);
-    private double loss;
+    private double lossProbability;
     private long now;
     private long order;
     private int runs;
     private int claims;
 
     @Test
-    void newHolderAnswersNoHistoryBeforeItsPull() {
+    void newHolderRepliesNoHistoryBeforeItsPull() {
         begin(1, 0);
         ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderDecision.Kind.NO_HISTORY));
-        pass(SETTLED);
+        run(SETTLED);
         ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderDecision.Kind.ACCEPTED));
     }
 
     @ParameterizedTest(name = "loss {0}, {1} holders restart at once, {2} apart")
     @CsvSource({"0,0,0", "0.1,0,0", "0.3,0,0", "0,1,0", "0.1,2,0", "0,3,0", "0.1,3,0", "0.1,3,9000"})
-    void runsAtMostOnce(double share, int restarts, int apartMillis) {
-        int decided = 0;
+    void runsAtMostOnce(double lossRate, int restarts, int apartMillis) {
+        int seedsWithClaim = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             begin(seed, 0);
-            pass(SETTLED);
-            loss = share;
+            run(SETTLED);
+            lossProbability = lossRate;
             for (int i = 0; i < 6; i++) {
-                String attempt = "attempt" + i;
+                String requestId = "attempt" + i;
                 int delay = i < 3 ? random.nextInt(600) : 1_200 + random.nextInt(9_000);
-                at(Duration.ofMillis(delay), () -> attempt(attempt));
+                schedule(Duration.ofMillis(delay), () -> claimKey(requestId));
             }
             List<String> lost = ClaimCoverage.holders(view("vm0"), KEY).subList(0, restarts);
             for (int i = 0; i < restarts; i++) {
                 String holder = lost.get(i);
-                at(Duration.ofMillis(random.nextInt(1_000) + (long) i * apartMillis), () -> restart(holder));
+                schedule(Duration.ofMillis(random.nextInt(1_000) + (long) i * apartMillis), () -> restart(holder));
             }
-            pass(Duration.ofSeconds(60));
+            run(Duration.ofSeconds(60));
             assertWithMessage("runs, seed %s", seed).that(runs).isAtMost(1);
-            decided += Math.min(claims, 1);
+            seedsWithClaim += Math.min(claims, 1);
         }
-        assertWithMessage("seeds in which an attempt got the key").that(decided).isAtLeast(SEEDS / 10);
+        assertWithMessage("seeds in which a request claimed the key")
+                .that(seedsWithClaim)
+                .isAtLeast(SEEDS / 10);
     }
 
     private HolderDecision.Kind claimAt(String id) {
         return holders.get(id)
                 .claim(new ClaimRequest("other", DIGEST, "a", 1_000), now)
-                .verdict();
+                .kind();
     }
 
-    private void begin(int seed, double share) {
+    private void begin(int seed, double lossRate) {
         random = new Random(seed);
-        loss = share;
+        lossProbability = lossRate;
         now = 0;
         runs = 0;
         claims = 0;
@@ -97,7 +101,7 @@
     private void start(String id) {
         HolderState holder = new HolderState(view(id), now);
         holders.put(id, holder);
-        at(ClaimLimits.SETTLING_TIME, () -> pullMissing(id, holder));
+        schedule(ClaimLimits.SETTLING_TIME, () -> pullMissing(id, holder));
     }
 
     private void restart(String id) {
@@ -128,43 +132,47 @@
                 });
             });
         }
-        at(Duration.ofMillis(500), () -> pullMissing(id, holder));
+        schedule(Duration.ofMillis(500), () -> pullMissing(id, holder));
     }
 
-    private void attempt(String id) {
-        List<String> asked = ClaimCoverage.holders(view("vm0"), KEY);
-        ClaimRound round = new ClaimRound(asked);
-        ClaimRequest request = new ClaimRequest(KEY, DIGEST, id, 2_000);
-        for (String holder : asked) {
+    private void claimKey(String requestId) {
+        List<String> keyHolders = ClaimCoverage.holders(view("vm0"), KEY);
+        ClaimRound round = new ClaimRound(keyHolders);
+        ClaimRequest request = new ClaimRequest(KEY, DIGEST, requestId, 2_000);
+        for (String holder : keyHolders) {
             send(() -> {
-                HolderDecision answer = holders.get(holder).claim(request, now);
-                send(() -> onVerdict(id, round.onReply(holder, answer)));
+                HolderDecision decision = holders.get(holder).claim(request, now);
+                send(() -> onResult(requestId, round.onReply(holder, decision)));
             });
-            at(ClaimLimits.CLAIM_TIMEOUT, () -> onVerdict(id, round.onNoReply(holder)));
+            schedule(ClaimLimits.CLAIM_TIMEOUT, () -> onResult(requestId, round.onNoReply(holder)));
         }
     }
 
-    /** A claimed attempt runs or not; its end is told truly, or as unknown, or never since its VM is lost. */
-    private void onVerdict(String id, Optional<ClaimResult> verdict) {
-        if (verdict.isEmpty()) {
+    /**
+     * Runs the request or not if its key is claimed; its outcome is reported, reported as unknown, or never reported.
+     */
+    private void onResult(String requestId, Optional<ClaimResult> result) {
+        if (result.isEmpty()) {
             return;
         }
-        if (!(verdict.get() instanceof ClaimResult.Claimed)) {
-            complete(id, ClaimStatus.NOT_RUN);
+        if (!(result.get() instanceof ClaimResult.Claimed)) {
+            complete(requestId, ClaimStatus.NOT_RUN);
             return;
         }
         claims++;
         boolean ran = random.nextInt(3) > 0;
         runs += ran ? 1 : 0;
-        ClaimStatus truth = ran ? ClaimStatus.RUN : ClaimStatus.NOT_RUN;
-        int told = random.nextInt(4);
-        if (told > 0) {
-            at(Duration.ofMillis(random.nextInt(2_000)), () -> complete(id, told == 1 ? ClaimStatus.UNKNOWN : truth));
+        ClaimStatus outcome = ran ? ClaimStatus.RUN : ClaimStatus.NOT_RUN;
+        int reportKind = random.nextInt(4);
+        if (reportKind > 0) {
+            schedule(
+                    Duration.ofMillis(random.nextInt(2_000)),
+                    () -> complete(requestId, reportKind == 1 ? ClaimStatus.UNKNOWN : outcome));
         }
     }
 
-    private void complete(String id, ClaimStatus status) {
-        ClaimCompletion completion = new ClaimCompletion(KEY, DIGEST, id, status, Optional.empty());
+    private void complete(String requestId, ClaimStatus status) {
+        ClaimCompletion completion = new ClaimCompletion(KEY, DIGEST, requestId, status, Optional.empty());
         for (String holder : ClaimCoverage.holders(view("vm0"), KEY)) {
             send(() -> holders.get(holder).complete(completion, now));
             send(() -> holders.get(holder).complete(completion, now));
@@ -172,20 +180,20 @@
     }
 
     private void send(Runnable arrival) {
-        if (random.nextDouble() < loss) {
+        if (random.nextDouble() < lossProbability) {
             return;
         }
         int copies = random.nextInt(10) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            at(Duration.ofMillis(random.nextInt(20) == 0 ? random.nextInt(3_000) : random.nextInt(20)), arrival);
+            schedule(Duration.ofMillis(random.nextInt(20) == 0 ? random.nextInt(3_000) : random.nextInt(20)), arrival);
         }
     }
 
-    private void at(Duration delay, Runnable task) {
+    private void schedule(Duration delay, Runnable task) {
         events.add(new Event(now + delay.toNanos(), order++, task));
     }
 
-    private void pass(Duration duration) {
+    private void run(Duration duration) {
         long end = now + duration.toNanos();
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event event = events.poll();
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimRoundTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimRoundTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A request runs only with the word of a quorum of its key's holders. */
+/** Tests that a key is claimed only if a quorum of its holders accepts. */
 class ClaimRoundTest {
     private static final String CLAIMED = "CLAIMED";
 
@@ -32,26 +32,26 @@
         "1,ACCEPTED,CLAIMED",
         "0,,KEY_UNDECIDED"
     })
-    void decidesAsSoonAsTheHoldersAllowIt(int holders, String answers, String expected) {
+    void determinesTheResultAsSoonAsTheDecisionsAllow(int holders, String decisions, String expected) {
         List<String> ids = List.of("a", "b", "c", "d", "e").subList(0, holders);
         ClaimRound round = new ClaimRound(ids);
-        List<String> said = answers == null ? List.of() : Arrays.asList(answers.split(" "));
-        for (int i = 0; i < said.size(); i++) {
-            round.onReply(ids.get(i), HolderDecision.of(HolderDecision.Kind.valueOf(said.get(i))));
+        List<String> kinds = decisions == null ? List.of() : Arrays.asList(decisions.split(" "));
+        for (int i = 0; i < kinds.size(); i++) {
+            round.onReply(ids.get(i), HolderDecision.of(HolderDecision.Kind.valueOf(kinds.get(i))));
         }
-        assertThat(name(round.verdict())).isEqualTo(expected);
+        assertThat(name(round.result())).isEqualTo(expected);
     }
 
     @Test
-    void countsEachHolderOnceAndNoStrangers() {
+    void countsEachHolderOnceAndNoOtherVm() {
         ClaimRound round = new ClaimRound(List.of("a", "b", "c", "d", "e"));
         List.of("a", "a", "b", "x", "c", "c")
                 .forEach(id -> round.onReply(id, HolderDecision.of(HolderDecision.Kind.ACCEPTED)));
-        assertThat(round.verdict()).isEmpty();
+        assertThat(round.result()).isEmpty();
     }
 
     @Test
-    void handsTheKeptAnswerOfTheFirstAttemptBack() {
+    void returnsTheKeptAnswerOfTheFirstRequest() {
         Answer answer = new Answer(201, List.of(), new byte[0]);
         ClaimRound round = new ClaimRound(List.of("a", "b", "c"));
         HolderDecision ran = new HolderDecision(HolderDecision.Kind.RUN, Optional.of(answer));
@@ -60,11 +60,11 @@
                 .isEmpty();
     }
 
-    private static String name(Optional<ClaimResult> verdict) {
-        if (verdict.isEmpty()) {
+    private static String name(Optional<ClaimResult> result) {
+        if (result.isEmpty()) {
             return "OPEN";
         }
-        return verdict.get() instanceof ClaimResult.Rejected rejected
+        return result.get() instanceof ClaimResult.Rejected rejected
                 ? rejected.error().name()
                 : CLAIMED;
     }
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimTableTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimTableTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A holder lets one attempt of a key run, unless the earlier ones are proved not to have run. */
+/** Tests that a holder accepts only one request with a key, unless the earlier ones are proven not to have run. */
 class ClaimTableTest {
     private static final RequestDigest DIGEST = new RequestDigest(1, 2);
     private static final Duration REMAINING = Duration.ofSeconds(2);
@@ -22,35 +22,35 @@
 
     private final ClaimTable table = new ClaimTable(3);
 
-    private HolderDecision.Kind claim(String attempt, long now) {
-        return table.claim("k", DIGEST, attempt, REMAINING, now).verdict();
+    private HolderDecision.Kind claim(String requestId, long now) {
+        return table.claim("k", DIGEST, requestId, REMAINING, now).kind();
     }
 
-    private void complete(String attempt, ClaimStatus status) {
-        table.complete("k", DIGEST, attempt, status, Optional.of(ANSWER), 0);
+    private void complete(String requestId, ClaimStatus status) {
+        table.complete("k", DIGEST, requestId, status, Optional.of(ANSWER), 0);
     }
 
     @ParameterizedTest
     @CsvSource({"RUN,RUN", "UNKNOWN,UNKNOWN", "NOT_RUN,ACCEPTED", "RUNNING,RUNNING"})
-    void repeatLearnsTheTruthOfTheFirst(ClaimStatus end, HolderDecision.Kind expected) {
+    void secondRequestGetsTheOutcomeOfTheFirst(ClaimStatus outcome, HolderDecision.Kind expected) {
         assertThat(claim("a1", 0)).isEqualTo(HolderDecision.Kind.ACCEPTED);
-        complete("a1", end);
-        long inTime = end == ClaimStatus.RUNNING ? 0 : 1;
-        assertThat(claim("a2", inTime)).isEqualTo(expected);
+        complete("a1", outcome);
+        long now = outcome == ClaimStatus.RUNNING ? 0 : 1;
+        assertThat(claim("a2", now)).isEqualTo(expected);
     }
 
     @ParameterizedTest
     @EnumSource(ClaimStatus.class)
-    void endThatOvertakesTheClaimCounts(ClaimStatus end) {
-        complete("a1", end);
-        if (end != ClaimStatus.RUNNING) {
+    void outcomeThatArrivesBeforeTheClaimCounts(ClaimStatus outcome) {
+        complete("a1", outcome);
+        if (outcome != ClaimStatus.RUNNING) {
             assertThat(claim("a1", 0)).isEqualTo(HolderDecision.Kind.RUNNING);
         }
-        assertThat(claim("a2", 0) == HolderDecision.Kind.ACCEPTED).isEqualTo(end == ClaimStatus.NOT_RUN);
+        assertThat(claim("a2", 0) == HolderDecision.Kind.ACCEPTED).isEqualTo(outcome == ClaimStatus.NOT_RUN);
     }
 
     @Test
-    void attemptWhoseEndIsOverdueCountsAsUnknown() {
+    void requestWithoutAnOutcomeAfterItsDeadlineCountsAsUnknown() {
         claim("a1", 0);
         long overdue = REMAINING.plus(ClaimLimits.COMPLETION_MARGIN).toNanos();
         assertThat(claim("a2", overdue - 1)).isEqualTo(HolderDecision.Kind.RUNNING);
@@ -58,47 +58,46 @@
     }
 
     @Test
-    void refusesOtherContentUntilTheFirstIsProvedNotRun() {
+    void refusesOtherContentUntilTheFirstIsProvenNotRun() {
         claim("a1", 0);
         RequestDigest other = new RequestDigest(1, 3);
-        assertThat(table.claim("k", other, "a2", REMAINING, 0).verdict()).isEqualTo(HolderDecision.Kind.REUSED);
+        assertThat(table.claim("k", other, "a2", REMAINING, 0).kind()).isEqualTo(HolderDecision.Kind.REUSED);
         complete("a1", ClaimStatus.NOT_RUN);
-        assertThat(table.claim("k", other, "a2", REMAINING, 0).verdict()).isEqualTo(HolderDecision.Kind.ACCEPTED);
+        assertThat(table.claim("k", other, "a2", REMAINING, 0).kind()).isEqualTo(HolderDecision.Kind.ACCEPTED);
     }
 
     @Test
-    void refusesNewKeysWhenFullAndForgetsNothingWithinTheWindow() {
+    void refusesNewKeysWhenFullAndRemovesNothingWithinTheWindow() {
         long window = ClaimLimits.WINDOW.toNanos();
         for (String key : List.of("x", "y", "z")) {
-            assertThat(table.claim(key, DIGEST, "a", REMAINING, 0).verdict()).isEqualTo(HolderDecision.Kind.ACCEPTED);
+            assertThat(table.claim(key, DIGEST, "a", REMAINING, 0).kind()).isEqualTo(HolderDecision.Kind.ACCEPTED);
         }
         assertThat(claim("a1", window - 1)).isEqualTo(HolderDecision.Kind.FULL);
-        assertThat(table.claim("x", DIGEST, "b", REMAINING, window - 1).verdict())
-                .isEqualTo(HolderDecision.Kind.UNKNOWN);
+        assertThat(table.claim("x", DIGEST, "b", REMAINING, window - 1).kind()).isEqualTo(HolderDecision.Kind.UNKNOWN);
         assertThat(claim("a1", window)).isEqualTo(HolderDecision.Kind.ACCEPTED);
         assertThat(table.size()).isEqualTo(1);
     }
 
     @Test
-    void keepsAnswersUpToTheirLimitAndTheFactThatItRanBeyondIt() {
-        Answer large = new Answer(200, List.of(), new byte[ClaimLimits.LARGEST_KEPT_ANSWER + 1]);
+    void keepsAnswersUpToTheirLimitAndOnlyTheStatusBeyondIt() {
+        Answer large = new Answer(200, List.of(), new byte[ClaimLimits.MAX_KEPT_ANSWER_BYTES + 1]);
         table.complete("k", DIGEST, "a1", ClaimStatus.RUN, Optional.of(large), 0);
-        HolderDecision repeat = table.claim("k", DIGEST, "a2", REMAINING, 0);
-        assertThat(repeat).isEqualTo(HolderDecision.of(HolderDecision.Kind.RUN));
+        HolderDecision second = table.claim("k", DIGEST, "a2", REMAINING, 0);
+        assertThat(second).isEqualTo(HolderDecision.of(HolderDecision.Kind.RUN));
         table.complete("k", DIGEST, "a1", ClaimStatus.RUN, Optional.of(ANSWER), 0);
         assertThat(table.claim("k", DIGEST, "a2", REMAINING, 0).answer()).hasValue(ANSWER);
         assertThat(table.answerBytes()).isEqualTo(1);
     }
 
     @Test
-    void orderAndRepetitionOfNewsMakeNoDifference() {
-        List<TransferredClaim> news = new ArrayList<>();
+    void orderAndDuplicatesOfUpdatesMakeNoDifference() {
+        List<TransferredClaim> updates = new ArrayList<>();
         for (ClaimStatus status : ClaimStatus.values()) {
-            for (String attempt : List.of("a1", "a2")) {
+            for (String requestId : List.of("a1", "a2")) {
                 Optional<Answer> answer = status == ClaimStatus.RUN ? Optional.of(ANSWER) : Optional.empty();
-                news.add(new TransferredClaim(
+                updates.add(new TransferredClaim(
                         "k",
-                        attempt,
+                        requestId,
                         DIGEST,
                         status,
                         answer,
@@ -107,18 +106,18 @@
             }
         }
         Random random = new Random(1);
-        List<TransferredClaim> expected = merged(news);
+        List<TransferredClaim> expected = merged(updates);
         for (int i = 0; i < 50; i++) {
-            news.add(news.get(random.nextInt(news.size())));
-            Collections.shuffle(news, random);
-            assertThat(merged(news)).isEqualTo(expected);
+            updates.add(updates.get(random.nextInt(updates.size())));
+            Collections.shuffle(updates, random);
+            assertThat(merged(updates)).isEqualTo(expected);
         }
     }
 
-    private static List<TransferredClaim> merged(List<TransferredClaim> news) {
+    private static List<TransferredClaim> merged(List<TransferredClaim> updates) {
         ClaimTable table = new ClaimTable(10);
-        news.forEach(attempt -> table.merge(attempt, 0));
-        return table.page("", key -> true, 0).attempts();
+        updates.forEach(claim -> table.merge(claim, 0));
+        return table.page("", key -> true, 0).claims();
     }
 
     @Test
@@ -129,10 +128,10 @@
         }
         List<String> keys = new ArrayList<>();
         ClaimTable.Page page = large.page("", key -> !key.endsWith("7"), 0);
-        page.attempts().forEach(attempt -> keys.add(attempt.key()));
+        page.claims().forEach(claim -> keys.add(claim.key()));
         while (!page.complete()) {
             page = large.page(page.last(), key -> !key.endsWith("7"), 0);
-            page.attempts().forEach(attempt -> keys.add(attempt.key()));
+            page.claims().forEach(claim -> keys.add(claim.key()));
         }
         assertThat(keys).hasSize(225);
         assertThat(keys).containsNoDuplicates();
