--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCoverage.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCoverage.java
@@ -14,9 +14,10 @@
 /**
  * Decides whether this VM, as a holder of a key, has all claim records of the key from the retention window.
  *
- * <p>It doesn't before its pull at start is complete; nor, for {@link ClaimLimits#SETTLING_TIME} after a change of the
- * VM list, for keys that it was not a holder of before; nor, for one window, for keys of which nearly all holders were
- * lost at once. A VM is lost if it is removed from the VM list or restarts without being marked as leaving.
+ * <p>It does not have them before its pull at start is complete; nor, for {@link ClaimLimits#SETTLING_TIME} after a
+ * change of the VM list, for keys that it was not a holder of before; nor, for one window, for keys of which nearly all
+ * holders were lost at once. A VM is lost if it is removed from the VM list or restarts without being marked as
+ * leaving.
  */
 public final class ClaimCoverage {
     /** The incarnation of a VM that is known only from the VM list published by the platform. */
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
@@ -46,19 +46,19 @@
     }
 
     /** Applies a view of the fleet. */
-    public void onFleet(FleetView now, long nowNanos) {
-        view = now;
-        List<String> known = List.copyOf(voterSets.keySet());
+    public void onFleet(FleetView newView, long nowNanos) {
+        view = newView;
+        List<String> services = List.copyOf(voterSets.keySet());
         voterSets.clear();
-        for (String service : known) {
+        for (String service : services) {
             voter.updateVoterSet(service, voters(service), nowNanos);
         }
         granters.forEach((service, granter) -> granter.lease().changeVoters(voters(service)));
     }
 
     /** Applies a configuration; grants beyond the new allowance end at once. */
-    public List<FloorAction> onConfiguration(Configuration now, long nowNanos) {
-        configuration = now;
+    public List<FloorAction> onConfiguration(Configuration newConfiguration, long nowNanos) {
+        configuration = newConfiguration;
         List<FloorAction> actions = new ArrayList<>(holder.onRules(this::rules, this::voters));
         granters.forEach((service, granter) -> {
             for (GrantTable.Grant grant : granter.excess(rules(service), nowNanos)) {
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
@@ -46,7 +46,7 @@
     private final Timeline timeline;
     private final FleetSource source;
 
-    /** Creates a driver for the VM that is the own VM of the source. */
+    /** Creates a driver for the VM that is {@link FleetView#self} in the view of the source. */
     public MembershipDriver(
             FleetSource source,
             List<Seed> seeds,
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
@@ -48,7 +48,7 @@
 
     @Test
     void newHolderRepliesNoHistoryBeforeItsPull() {
-        begin(1, 0);
+        reset(1, 0);
         ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderDecision.Kind.NO_HISTORY));
         run(SETTLED);
         ids.forEach(id -> assertThat(claimAt(id)).isEqualTo(HolderDecision.Kind.ACCEPTED));
@@ -59,7 +59,7 @@
     void runsAtMostOnce(double lossRate, int restarts, int apartMillis) {
         int seedsWithClaim = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            begin(seed, 0);
+            reset(seed, 0);
             run(SETTLED);
             lossProbability = lossRate;
             for (int i = 0; i < 6; i++) {
@@ -87,7 +87,7 @@
                 .kind();
     }
 
-    private void begin(int seed, double lossRate) {
+    private void reset(int seed, double lossRate) {
         random = new Random(seed);
         lossProbability = lossRate;
         now = 0;
@@ -179,13 +179,13 @@
         }
     }
 
-    private void send(Runnable arrival) {
+    private void send(Runnable delivery) {
         if (random.nextDouble() < lossProbability) {
             return;
         }
         int copies = random.nextInt(10) == 0 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            schedule(Duration.ofMillis(random.nextInt(20) == 0 ? random.nextInt(3_000) : random.nextInt(20)), arrival);
+            schedule(Duration.ofMillis(random.nextInt(20) == 0 ? random.nextInt(3_000) : random.nextInt(20)), delivery);
         }
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimTableTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimTableTest.java
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void transfersAllWantedKeysPageByPage() {
+    void transfersAllMatchingKeysPageByPage() {
         ClaimTable large = new ClaimTable(1_000);
         for (int i = 0; i < 250; i++) {
             large.claim("key" + i, DIGEST, "a", REMAINING, 0);
