--- a/bench/src/main/java/io/coppershelf/bench/load/CallResult.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/CallResult.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * How one call ended.
+ * The result of one call.
  *
- * @param workId the piece of work
+ * @param workId the id of the work item
  * @param route the request kind
  * @param status the HTTP status, 0 if no answer came
  * @param outcome the value of the outcome header
  * @param error the value of the error header
- * @param whole whether the body was the one expected
- * @param atNanos when the call was to be sent, from the start of the run
- * @param latencyNanos from the time at which it was to be sent to the whole answer
+ * @param bodyMatches whether the body was the expected one
+ * @param atNanos the scheduled send time, in nanoseconds since the start of the run
+ * @param latencyNanos the time from the scheduled send time to the complete answer
  */
 public record CallResult(
         String workId,
@@ -21,15 +21,15 @@
         int status,
         Optional<String> outcome,
         Optional<String> error,
-        boolean whole,
+        boolean bodyMatches,
         long atNanos,
         long latencyNanos) {
-    /** Returns whether the caller got its own whole answer within the deadline of the kind. */
+    /** Returns whether the caller received its own complete answer within the deadline of the request kind. */
     public boolean isInTime() {
-        return status == 200 && whole && latencyNanos <= route.deadline().toNanos();
+        return status == 200 && bodyMatches && latencyNanos <= route.deadline().toNanos();
     }
 
-    /** Returns whether the caller was told that the work was not run. */
+    /** Returns whether the answer stated that the work was not run. */
     public boolean isReportedNotRun() {
         return outcome.equals(Optional.of("not-run"));
     }
--- a/bench/src/main/java/io/coppershelf/bench/load/ClosedLoop.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/ClosedLoop.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.IntStream;
 
-/** Callers that each send the next call when the last one is answered, to find the rate at which a daemon saturates. */
+/**
+ * Callers that each send their next call once the previous one is answered, to find the rate at which a daemon
+ * saturates.
+ */
 public final class ClosedLoop {
     private static final int STATUS_OK = 200;
 
@@ -22,7 +25,7 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final URI address;
     private final long endNanos;
-    private final AtomicLong next = new AtomicLong();
+    private final AtomicLong lastWorkId = new AtomicLong();
     private final LongAdder answered = new LongAdder();
     private final ConcurrentMap<String, Integer> failures = new ConcurrentHashMap<>();
 
@@ -32,11 +35,11 @@
     }
 
     /**
-     * The rates of a closed loop.
+     * The rates that a closed loop reached.
      *
-     * @param answeredPerSecond calls with status 200
+     * @param answeredPerSecond the calls answered with status 200
      * @param failedPerSecond all other calls
-     * @param failures the number of calls by the error that they were told
+     * @param failures the number of failed calls by the error in their answer
      */
     public record Rates(double answeredPerSecond, double failedPerSecond, Map<String, Integer> failures) {}
 
@@ -44,7 +47,7 @@
     public static Rates run(URI address, int callers, Duration duration) {
         ClosedLoop loop = new ClosedLoop(address, duration);
         CompletableFuture.allOf(IntStream.range(0, callers)
-                        .mapToObj(caller -> loop.callAgain())
+                        .mapToObj(caller -> loop.callUntilEnd())
                         .toArray(CompletableFuture<?>[]::new))
                 .join();
         double seconds = duration.toNanos() / 1e9;
@@ -52,20 +55,20 @@
         return new Rates(loop.answered.sum() / seconds, failed / seconds, Map.copyOf(loop.failures));
     }
 
-    private CompletableFuture<Void> callAgain() {
+    private CompletableFuture<Void> callUntilEnd() {
         if (System.nanoTime() > endNanos) {
             return CompletableFuture.completedFuture(null);
         }
         HttpRequest request = HttpRequest.newBuilder(address)
-                .header(BackendHeaders.WORK_ID, "loop-" + next.incrementAndGet())
+                .header(BackendHeaders.WORK_ID, "loop-" + lastWorkId.incrementAndGet())
                 .timeout(Duration.ofSeconds(10))
                 .build();
         return http.sendAsync(request, HttpResponse.BodyHandlers.ofByteArray())
-                .handle(this::count)
-                .thenComposeAsync(counted -> callAgain());
+                .handle(this::recordResult)
+                .thenComposeAsync(wasAnswered -> callUntilEnd());
     }
 
-    private boolean count(HttpResponse<byte[]> answer, Throwable failure) {
+    private boolean recordResult(HttpResponse<byte[]> answer, Throwable failure) {
         if (failure != null) {
             failures.merge("unanswered", 1, Integer::sum);
             return false;
--- a/bench/src/main/java/io/coppershelf/bench/load/ConsistencyReport.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/ConsistencyReport.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * What callers were told, checked against what the backend servers ran.
+ * The outcomes that callers received, checked against the work that the backend servers ran.
  *
  * @param calls the number of calls
- * @param inTimeShare the share of calls answered whole and in time, by the weight of their kind
- * @param executedTwice non-idempotent work that was begun more than once
- * @param notRunYetRun work told as not run that was begun
- * @param answeredYetNotRun work answered that was never begun
- * @param foreignOrPartial answers with status 200 that were not the caller's own whole answer
+ * @param inTimeShare the share of calls answered completely and in time, by the weight of their request kind
+ * @param executedTwice calls whose non-idempotent work was started more than once
+ * @param notRunYetRun calls reported as not run whose work was started
+ * @param answeredYetNotRun calls answered with status 200 whose work was never started
+ * @param foreignOrPartial calls answered with status 200 but not with the caller's own complete answer
  * @param unanswered calls without any answer
  */
 public record ConsistencyReport(
@@ -24,26 +24,26 @@
         long unanswered) {
     /** Returns the report over the results of a run. */
     public static ConsistencyReport of(List<CallResult> results, Map<String, Integer> executions) {
-        double weight =
+        double totalWeight =
                 results.stream().mapToInt(result -> result.route().weight()).sum();
-        double inTime = results.stream()
+        double inTimeWeight = results.stream()
                 .filter(CallResult::isInTime)
                 .mapToInt(result -> result.route().weight())
                 .sum();
         return new ConsistencyReport(
                 results.size(),
-                weight == 0 ? 1 : inTime / weight,
+                totalWeight == 0 ? 1 : inTimeWeight / totalWeight,
                 results.stream()
-                        .filter(result -> !result.route().idempotent() && begun(result, executions) > 1)
+                        .filter(result -> !result.route().idempotent() && executionCount(result, executions) > 1)
                         .count(),
                 results.stream()
-                        .filter(result -> result.isReportedNotRun() && begun(result, executions) > 0)
+                        .filter(result -> result.isReportedNotRun() && executionCount(result, executions) > 0)
                         .count(),
                 results.stream()
-                        .filter(result -> result.status() == 200 && begun(result, executions) == 0)
+                        .filter(result -> result.status() == 200 && executionCount(result, executions) == 0)
                         .count(),
                 results.stream()
-                        .filter(result -> result.status() == 200 && !result.whole())
+                        .filter(result -> result.status() == 200 && !result.bodyMatches())
                         .count(),
                 results.stream().filter(result -> result.status() == 0).count());
     }
@@ -53,7 +53,7 @@
         return executedTwice == 0 && notRunYetRun == 0 && answeredYetNotRun == 0 && foreignOrPartial == 0;
     }
 
-    private static int begun(CallResult result, Map<String, Integer> executions) {
+    private static int executionCount(CallResult result, Map<String, Integer> executions) {
         return executions.getOrDefault(result.workId(), 0);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/load/ExpectedAnswer.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/ExpectedAnswer.java
@@ -2,11 +2,11 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The answer that a piece of work must get, the same for the stand-ins that give it and the callers that check it. */
+/** The expected answer to a work item, shared by the stand-ins that send it and the callers that check it. */
 public final class ExpectedAnswer {
     private ExpectedAnswer() {}
 
-    /** Returns the id of the work, repeated up to the length asked for. */
+    /** Returns the id of the work item, repeated up to the requested length, but at least once. */
     public static byte[] of(String workId, int length) {
         byte[] pattern = (workId + "\n").getBytes(StandardCharsets.UTF_8);
         byte[] body = new byte[Math.max(length, pattern.length)];
--- a/bench/src/main/java/io/coppershelf/bench/load/LoadGenerator.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/LoadGenerator.java
@@ -15,9 +15,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.LockSupport;
 
-/** Sends calls at a steady rate, in an open loop, and records how each ended. */
+/** Sends calls in an open loop at a constant rate and records the result of each. */
 public final class LoadGenerator {
-    private static final Duration GRACE = Duration.ofSeconds(2);
+    /** Extra time after the deadline during which a late answer is still recorded. */
+    private static final Duration TIMEOUT_MARGIN = Duration.ofSeconds(2);
 
     private final HttpClient http;
     private final LoadPlan plan;
@@ -29,31 +30,33 @@
         this.http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     }
 
-    /** Runs the plan and returns the results in the order of sending. */
+    /** Runs the plan and returns the results in send order. */
     public static List<CallResult> run(LoadPlan plan) {
         return new LoadGenerator(plan).run();
     }
 
     private List<CallResult> run() {
-        long interval = (long) (1e9 / plan.requestsPerSecond());
-        int count = (int) (plan.duration().toNanos() / interval);
+        long intervalNanos = (long) (1e9 / plan.requestsPerSecond());
+        int count = (int) (plan.duration().toNanos() / intervalNanos);
         List<CompletableFuture<CallResult>> calls = new ArrayList<>(count);
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < count; i++) {
-            long due = start + i * interval;
-            for (long left = due - System.nanoTime(); left > 0; left = due - System.nanoTime()) {
-                LockSupport.parkNanos(left);
+            long dueNanos = startNanos + i * intervalNanos;
+            for (long remaining = dueNanos - System.nanoTime();
+                    remaining > 0;
+                    remaining = dueNanos - System.nanoTime()) {
+                LockSupport.parkNanos(remaining);
             }
-            calls.add(call(i, due, due - start));
+            calls.add(call(i, dueNanos, dueNanos - startNanos));
         }
         return calls.stream().map(CompletableFuture::join).toList();
     }
 
-    private CompletableFuture<CallResult> call(int index, long due, long at) {
+    private CompletableFuture<CallResult> call(int index, long dueNanos, long offsetNanos) {
         RouteSpec route = plan.routes().get(random.nextInt(plan.routes().size()));
         String workId = plan.name() + "-" + index;
         return http.sendAsync(request(index, workId, route), HttpResponse.BodyHandlers.ofByteArray())
-                .handle((answer, failure) -> result(workId, route, answer, at, System.nanoTime() - due));
+                .handle((answer, failure) -> result(workId, route, answer, offsetNanos, System.nanoTime() - dueNanos));
     }
 
     private HttpRequest request(int index, String workId, RouteSpec route) {
@@ -61,7 +64,7 @@
         double factor = -Math.log(1.0 - random.nextDouble());
         long micros = Math.round(plan.meanWork().toNanos() / 1e3 * factor);
         HttpRequest.Builder builder = HttpRequest.newBuilder(target.resolve(path(route, workId)))
-                .timeout(route.deadline().plus(GRACE))
+                .timeout(route.deadline().plus(TIMEOUT_MARGIN))
                 .header(BackendHeaders.WORK_ID, workId)
                 .header(BackendHeaders.WORK_MICROS, Long.toString(micros))
                 .header(BackendHeaders.ANSWER_BYTES, Integer.toString(plan.answerBytes()));
@@ -81,19 +84,21 @@
         return route.path().endsWith("*") ? route.path().replace("*", workId) : route.path();
     }
 
-    private CallResult result(String workId, RouteSpec route, HttpResponse<byte[]> answer, long at, long latency) {
+    private CallResult result(
+            String workId, RouteSpec route, HttpResponse<byte[]> answer, long offsetNanos, long latencyNanos) {
         if (answer == null) {
-            return new CallResult(workId, route, 0, Optional.empty(), Optional.empty(), false, at, latency);
+            return new CallResult(
+                    workId, route, 0, Optional.empty(), Optional.empty(), false, offsetNanos, latencyNanos);
         }
-        boolean whole = Arrays.equals(answer.body(), ExpectedAnswer.of(workId, plan.answerBytes()));
+        boolean bodyMatches = Arrays.equals(answer.body(), ExpectedAnswer.of(workId, plan.answerBytes()));
         return new CallResult(
                 workId,
                 route,
                 answer.statusCode(),
                 answer.headers().firstValue("Coppershelf-Outcome"),
                 answer.headers().firstValue("Coppershelf-Error"),
-                whole,
-                at,
-                latency);
+                bodyMatches,
+                offsetNanos,
+                latencyNanos);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/load/LoadPlan.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/LoadPlan.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * What the load generator sends.
+ * The load that the load generator sends.
  *
- * @param name the prefix of the work ids, unique over the life of the stand-ins
- * @param targets the base addresses, used in turn
- * @param routes the request kinds, drawn evenly
- * @param requestsPerSecond the rate, kept whatever the answers
+ * @param name the prefix of the work ids, unique during the lifetime of the stand-ins
+ * @param targets the base URIs, used in round-robin order
+ * @param routes the request kinds, chosen uniformly at random
+ * @param requestsPerSecond the send rate, independent of the answers
  * @param duration how long requests are sent
- * @param meanWork the mean service time
+ * @param meanWork the mean service time; each call draws its own from an exponential distribution
  * @param answerBytes the length of the answers
  * @param seed the seed of the random numbers
  */
--- a/bench/src/main/java/io/coppershelf/bench/load/package-info.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/package-info.java
@@ -1,2 +1,2 @@
-/** The load generator: an open loop of callers, and the check of what they were told against what was run. */
+/** Load generators, and the check of the outcomes that callers received against the work that was run. */
 package io.coppershelf.bench.load;
