--- a/bench/src/main/java/io/coppershelf/bench/platform/PlatformFault.java
+++ b/bench/src/main/java/io/coppershelf/bench/platform/PlatformFault.java
@@ -1,23 +1,26 @@
 package io.coppershelf.bench.platform;
 
-/** The ways in which the stand-in can fail. */
+/** The faults that the stand-in can simulate. */
 public enum PlatformFault {
-    /** Works. */
+    /** No fault. */
     NONE,
     /** Closes each connection without an answer. */
     DOWN,
-    /** Gives the next ticket to the first reader, and is down from then on. */
+    /** Serves the next ticket to the first reader only, then behaves like {@link #DOWN}. */
     DOWN_AFTER_READER,
-    /** Serves what it held when the fault was switched on, whatever is published. */
+    /** Serves the state from when the fault was set and ignores what is published later. */
     STALE,
-    /** Serves only the first half of the tickets, at their lower position, and an older list of VMs. */
+    /**
+     * Serves only the first half of the tickets, with the matching lower position, and the VM list with a lower
+     * revision.
+     */
     ROLLED_BACK,
-    /** Answers with bytes that are no answer. */
+    /** Answers with bytes that are not a valid document. */
     GARBAGE,
-    /** Sends half of each answer and closes the connection. */
+    /** Sends half of each answer, then closes the connection. */
     TRUNCATED,
-    /** Answers with three megabytes. */
+    /** Answers with a body of three megabytes. */
     OVERSIZED,
-    /** Answers two seconds late. */
+    /** Delays each answer by two seconds. */
     SLOW
 }
--- a/bench/src/main/java/io/coppershelf/bench/platform/PlatformMain.java
+++ b/bench/src/main/java/io/coppershelf/bench/platform/PlatformMain.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Runs a platform stand-in as a process until it is ended. */
+/** Runs a platform stand-in until the process is terminated. */
 @Command(name = "platform", description = "Runs a stand-in for the platform")
 public final class PlatformMain {
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
     @Option(name = "--host", description = "IP number to listen on")
     private String host = "127.0.0.1";
@@ -30,21 +30,21 @@
     @Option(name = "--vms", description = "File with the list of VMs")
     private String vms = "";
 
-    /** Runs the stand-in. */
+    /** Starts the stand-in and publishes the files given on the command line. */
     public static void main(String[] args) throws IOException {
         try {
             SingleCommand.singleCommand(PlatformMain.class).parse(args).run();
         } catch (ParseException e) {
             System.err.println(e.getMessage());
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
     }
 
     private void run() throws IOException {
         PlatformStandIn standIn = PlatformStandIn.start(host, port);
         if (!vms.isEmpty()) {
-            String text = Files.readString(Path.of(vms));
-            standIn.setVms(JsonMapper.builder().build().readTree(text).path("vms"));
+            String document = Files.readString(Path.of(vms));
+            standIn.publishVms(JsonMapper.builder().build().readTree(document).path("vms"));
         }
         for (Path file : ticketFiles()) {
             standIn.publishTicket(Files.readString(file));
--- a/bench/src/main/java/io/coppershelf/bench/platform/PlatformStandIn.java
+++ b/bench/src/main/java/io/coppershelf/bench/platform/PlatformStandIn.java
@@ -19,8 +19,8 @@
 import java.util.function.Predicate;
 
 /**
- * A stand-in for the platform's service. Publishing and faults go through its methods, or over HTTP under
- * {@code /control}.
+ * A stand-in for the platform's HTTP service. Tickets, VM lists and faults are set through its methods, or over HTTP
+ * under {@code /control}. A watch is a read of {@code /tickets} or {@code /vms} that waits until there is an update.
  *
  * <pre>{@code
  * try (PlatformStandIn platform = PlatformStandIn.start("127.0.0.1", 0)) {
@@ -33,15 +33,15 @@
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final long LONGEST_WAIT_MILLIS = 60_000;
+    private static final long MAX_WAIT_MILLIS = 60_000;
     private static final long SLOW_MILLIS = 2_000;
     private static final int OVERSIZED_BYTES = 3_000_000;
-    private static final int GARBAGE_BYTES = 500;
+    private static final int GARBAGE_REPEATS = 500;
 
     private final HttpServer server;
     private final ExecutorService executor = Executors.newCachedThreadPool();
-    private Replica published = Replica.empty();
-    private Replica frozen = Replica.empty();
+    private PublishedState published = PublishedState.empty();
+    private PublishedState frozen = PublishedState.empty();
     private PlatformFault fault = PlatformFault.NONE;
     private long calls;
     private int waiting;
@@ -67,20 +67,20 @@
         return standIn;
     }
 
-    /** Returns the address for the settings of daemons. */
+    /** Returns the base URI, as the settings of daemons need it. */
     public URI address() {
         InetSocketAddress bound = server.getAddress();
         return URI.create("http://" + bound.getAddress().getHostAddress() + ":" + bound.getPort());
     }
 
-    /** Publishes a ticket, valid or not. */
+    /** Publishes a ticket, which may be invalid. */
     public synchronized void publishTicket(String document) {
         published = published.withTicket(document);
         notifyAll();
     }
 
-    /** Publishes a list of VMs. */
-    public void setVms(List<Vm> vms) {
+    /** Publishes a VM list. */
+    public void publishVms(List<Vm> vms) {
         ArrayNode list = JsonNodeFactory.instance.arrayNode();
         for (Vm vm : vms) {
             list.addObject()
@@ -92,28 +92,28 @@
                     .put("operatorPort", vm.operatorPort())
                     .put("leaving", vm.leaving());
         }
-        setVms(list);
+        publishVms(list);
     }
 
-    /** Publishes a list of VMs in its JSON form. */
-    public synchronized void setVms(JsonNode list) {
+    /** Publishes a VM list in its JSON form, which may be invalid. */
+    public synchronized void publishVms(JsonNode list) {
         published = published.withVms(list);
         notifyAll();
     }
 
-    /** Switches a fault on, or all off. */
+    /** Sets the fault, which replaces the previous one; {@link PlatformFault#NONE} clears it. */
     public synchronized void setFault(PlatformFault newFault) {
         fault = newFault;
         frozen = newFault == PlatformFault.ROLLED_BACK ? published.rolledBack() : published;
         notifyAll();
     }
 
-    /** Returns the number of calls so far, a waiting watch as one. */
+    /** Returns the number of calls so far; a waiting watch counts as one call. */
     public synchronized long calls() {
         return calls;
     }
 
-    /** Returns the number of watches that wait now. */
+    /** Returns the number of watches that are waiting for an update. */
     public synchronized int waiting() {
         return waiting;
     }
@@ -127,14 +127,17 @@
     private void handle(HttpExchange exchange) throws IOException {
         try (exchange) {
             switch (exchange.getRequestURI().getPath()) {
-                case "/tickets" -> watch(exchange, true, Replica::hasTicketsFor, Replica::ticketsAfter);
-                case "/vms" -> watch(exchange, false, Replica::hasVmsFor, (replica, known) -> replica.vmsAnswer());
+                case "/tickets" -> watch(exchange, true, PublishedState::hasTicketsFor, PublishedState::ticketsAfter);
+                case "/vms" -> watch(exchange, false, PublishedState::hasVmsFor, (state, after) -> state.vmsAnswer());
                 case "/control/tickets" -> {
                     publishTicket(body(exchange));
                     answer(exchange, OK, "published\n");
                 }
                 case "/control/vms" -> {
-                    setVms(JsonMapper.builder().build().readTree(body(exchange)).path("vms"));
+                    publishVms(JsonMapper.builder()
+                            .build()
+                            .readTree(body(exchange))
+                            .path("vms"));
                     answer(exchange, OK, "published\n");
                 }
                 case "/control/fault" -> controlFault(exchange);
@@ -157,43 +160,43 @@
         }
     }
 
-    private void watch(HttpExchange exchange, boolean isOfTickets, Change change, Answer answer)
+    private void watch(HttpExchange exchange, boolean isTicketWatch, UpdateCheck updateCheck, Answer answer)
             throws IOException, InterruptedException {
         long after;
         long waitMillis;
         try {
             after = parameter(exchange, "after");
-            waitMillis = Math.min(parameter(exchange, "wait"), LONGEST_WAIT_MILLIS);
+            waitMillis = Math.min(parameter(exchange, "wait"), MAX_WAIT_MILLIS);
         } catch (NumberFormatException e) {
             answer(exchange, BAD_REQUEST, "after and wait must be numbers\n");
             return;
         }
-        Served served = await(replica -> change.isFor(replica, after), waitMillis, isOfTickets);
-        send(exchange, served, replica -> answer.of(replica, after).toString());
+        Served served = await(state -> updateCheck.hasUpdate(state, after), waitMillis, isTicketWatch);
+        send(exchange, served, state -> answer.of(state, after).toString());
     }
 
-    private synchronized Served await(Predicate<Replica> condition, long waitMillis, boolean isOfTickets)
+    private synchronized Served await(Predicate<PublishedState> condition, long waitMillis, boolean isTicketWatch)
             throws InterruptedException {
         calls++;
         waiting++;
-        long end = System.nanoTime() + waitMillis * 1_000_000;
+        long endNanos = System.nanoTime() + waitMillis * 1_000_000;
         try {
-            long left = waitMillis;
-            while (left > 0 && isWaiting(condition)) {
-                wait(left);
-                left = (end - System.nanoTime()) / 1_000_000;
+            long remainingMillis = waitMillis;
+            while (remainingMillis > 0 && mustWait(condition)) {
+                wait(remainingMillis);
+                remainingMillis = (endNanos - System.nanoTime()) / 1_000_000;
             }
-            Served answer = new Served(served(), fault);
-            if (fault == PlatformFault.DOWN_AFTER_READER && isOfTickets && condition.test(published)) {
+            Served result = new Served(served(), fault);
+            if (fault == PlatformFault.DOWN_AFTER_READER && isTicketWatch && condition.test(published)) {
                 setFault(PlatformFault.DOWN);
             }
-            return answer;
+            return result;
         } finally {
             waiting--;
         }
     }
 
-    private boolean isWaiting(Predicate<Replica> condition) {
+    private boolean mustWait(Predicate<PublishedState> condition) {
         boolean isServing = fault == PlatformFault.NONE
                 || fault == PlatformFault.STALE
                 || fault == PlatformFault.ROLLED_BACK
@@ -202,22 +205,22 @@
         return isServing && !condition.test(served());
     }
 
-    private Replica served() {
+    private PublishedState served() {
         return fault == PlatformFault.STALE || fault == PlatformFault.ROLLED_BACK ? frozen : published;
     }
 
-    private void send(HttpExchange exchange, Served served, Function<Replica, String> text)
+    private void send(HttpExchange exchange, Served served, Function<PublishedState, String> text)
             throws IOException, InterruptedException {
         switch (served.fault()) {
             case DOWN -> {}
-            case GARBAGE -> answer(exchange, OK, "\u0000{garbage".repeat(GARBAGE_BYTES));
+            case GARBAGE -> answer(exchange, OK, "\u0000{garbage".repeat(GARBAGE_REPEATS));
             case OVERSIZED -> answer(exchange, OK, " ".repeat(OVERSIZED_BYTES));
-            case TRUNCATED -> truncate(exchange, text.apply(served.replica()));
+            case TRUNCATED -> truncate(exchange, text.apply(served.state()));
             case SLOW -> {
                 Thread.sleep(SLOW_MILLIS);
-                answer(exchange, OK, text.apply(served.replica()));
+                answer(exchange, OK, text.apply(served.state()));
             }
-            case NONE, DOWN_AFTER_READER, STALE, ROLLED_BACK -> answer(exchange, OK, text.apply(served.replica()));
+            case NONE, DOWN_AFTER_READER, STALE, ROLLED_BACK -> answer(exchange, OK, text.apply(served.state()));
         }
     }
 
@@ -248,16 +251,16 @@
         return 0;
     }
 
-    /** What a call is answered from, and the fault that befalls it. */
-    private record Served(Replica replica, PlatformFault fault) {}
+    /** The state from which a call is answered and the fault that applies to the answer. */
+    private record Served(PublishedState state, PlatformFault fault) {}
 
-    /** Whether a replica has something to say to a watch. */
-    private interface Change {
-        boolean isFor(Replica replica, long known);
+    /** Checks whether a state has an update for a watch. */
+    private interface UpdateCheck {
+        boolean hasUpdate(PublishedState state, long after);
     }
 
-    /** What a replica says to a watch. */
+    /** Builds the answer of a state to a watch. */
     private interface Answer {
-        JsonNode of(Replica replica, long known);
+        JsonNode of(PublishedState state, long after);
     }
 }
--- a/bench/src/test/java/io/coppershelf/bench/platform/HttpPlatformTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/platform/HttpPlatformTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class HttpPlatformTest {
-    private static final Duration LONG = Duration.ofSeconds(30);
+    private static final Duration LONG_WAIT = Duration.ofSeconds(30);
 
     private PlatformStandIn standIn;
     private HttpPlatform platform;
@@ -51,8 +51,8 @@
     }
 
     @Test
-    void watchCountsAsOneCallAndEndsWithTheNextTicket() {
-        CompletableFuture<PublishedTickets> watch = platform.tickets(0, LONG);
+    void watchCountsAsOneCallAndCompletesOnTheNextTicket() {
+        CompletableFuture<PublishedTickets> watch = platform.tickets(0, LONG_WAIT);
         while (standIn.waiting() == 0) {
             Thread.onSpinWait();
         }
@@ -64,12 +64,12 @@
     }
 
     @Test
-    void readsListOfVms() {
+    void readsVmList() {
         Vm vm = new Vm("herning-1", 5, "herning", "127.0.0.1", 8081, 8082, true);
 
-        standIn.setVms(List.of(vm));
+        standIn.publishVms(List.of(vm));
 
-        assertThat(platform.vms(0, LONG).join().vms()).containsExactly(vm);
+        assertThat(platform.vms(0, LONG_WAIT).join().vms()).containsExactly(vm);
         assertThat(platform.vms(1, Duration.ZERO).join().revision()).isEqualTo(1);
     }
 
@@ -80,23 +80,23 @@
         "GARBAGE, PLATFORM_GARBLED",
         "OVERSIZED, PLATFORM_GARBLED"
     })
-    void tellsFailuresByTheirKindAndReadsAgainAfterwards(PlatformFault fault, ErrorKind expected) {
+    void reportsEachFailureByKindAndReadsAgainAfterwards(PlatformFault fault, ErrorKind expected) {
         standIn.publishTicket("one");
         standIn.setFault(fault);
 
         CompletionException failure = assertThrows(
-                CompletionException.class, () -> platform.tickets(0, LONG).join());
+                CompletionException.class, () -> platform.tickets(0, LONG_WAIT).join());
 
         assertThat(((CoppershelfException) failure.getCause()).kind()).isEqualTo(expected);
         assertThat(platform.calls().labelValues("tickets", expected.code()).get())
                 .isEqualTo(1);
         standIn.setFault(PlatformFault.NONE);
-        assertThat(platform.tickets(0, LONG).join().documents()).containsExactly("one");
+        assertThat(platform.tickets(0, LONG_WAIT).join().documents()).containsExactly("one");
     }
 
     @ParameterizedTest
     @CsvSource({"STALE, 2", "ROLLED_BACK, 1"})
-    void servesOldStateWhileTheReplicaIsOld(PlatformFault fault, long position) {
+    void readsOutdatedTicketsFromAnOutdatedPlatform(PlatformFault fault, long position) {
         standIn.publishTicket("one");
         standIn.publishTicket("two");
         standIn.setFault(fault);
@@ -114,23 +114,23 @@
             {"id": "a", "dataCentre": "d", "host": "127.0.0.1", "peerPort": 1.5, "operatorPort": 2}
             7
             """)
-    void refusesListWithAMalformedVm(String vm) throws IOException {
-        standIn.setVms(
+    void rejectsVmListWithAMalformedVm(String vm) throws IOException {
+        standIn.publishVms(
                 com.fasterxml.jackson.databind.json.JsonMapper.builder().build().readTree("[" + vm + "]"));
 
         CompletionException failure = assertThrows(
-                CompletionException.class, () -> platform.vms(0, LONG).join());
+                CompletionException.class, () -> platform.vms(0, LONG_WAIT).join());
 
         assertThat(((CoppershelfException) failure.getCause()).kind()).isEqualTo(ErrorKind.PLATFORM_GARBLED);
     }
 
     @Test
-    void splitsTicketsOverAnswersOfOneMegabyte() {
+    void splitsTicketsIntoAnswersOfOneMegabyte() {
         String large = "x".repeat(700_000);
         standIn.publishTicket(large);
         standIn.publishTicket(large);
 
-        assertThat(platform.tickets(0, LONG).join().documents()).hasSize(1);
-        assertThat(platform.tickets(1, LONG).join().documents()).hasSize(1);
+        assertThat(platform.tickets(0, LONG_WAIT).join().documents()).hasSize(1);
+        assertThat(platform.tickets(1, LONG_WAIT).join().documents()).hasSize(1);
     }
 }
