--- a/bench/src/main/java/io/coppershelf/bench/overhead/OverheadBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/overhead/OverheadBench.java
@@ -24,14 +24,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Compares calls straight to backend servers with calls through a daemon, in turns within one run, and finds the rate
- * at which the daemon saturates.
+ * Compares direct calls to backend servers with calls through a daemon, alternating between them in rounds, and
+ * measures the rate at which the daemon saturates.
  */
 @Command(name = "overhead", description = "Measures the latency that a daemon adds, and where it saturates")
 public final class OverheadBench {
     private static final double CALLS_PER_SECOND = 405;
     private static final double TARGET_ADDED_P99_MILLIS = 6.4;
     private static final int ROUNDS = 3;
+    private static final int ANSWER_BYTES = 256;
     private static final int SATURATING_CALLERS = 48;
     private static final Duration WARM_UP = Duration.ofSeconds(5);
 
@@ -60,26 +61,26 @@
 
     private void run() throws IOException, InterruptedException {
         RouteSpec route = idempotentRoute();
-        List<URI> direct = serversOf(route);
-        List<URI> daemon = List.of(URI.create(caller));
-        load("warm-direct", direct, route, WARM_UP);
-        load("warm-daemon", daemon, route, WARM_UP);
-        List<CallResult> straight = new ArrayList<>();
-        List<CallResult> through = new ArrayList<>();
+        List<URI> servers = serversOf(route);
+        List<URI> daemons = List.of(URI.create(caller));
+        load("warm-direct", servers, route, WARM_UP);
+        load("warm-daemon", daemons, route, WARM_UP);
+        List<CallResult> directResults = new ArrayList<>();
+        List<CallResult> daemonResults = new ArrayList<>();
         for (int round = 0; round < ROUNDS; round++) {
-            straight.addAll(load("direct-" + round, direct, route, Duration.ofSeconds(seconds)));
-            through.addAll(load("daemon-" + round, daemon, route, Duration.ofSeconds(seconds)));
+            directResults.addAll(load("direct-" + round, servers, route, Duration.ofSeconds(seconds)));
+            daemonResults.addAll(load("daemon-" + round, daemons, route, Duration.ofSeconds(seconds)));
         }
-        print(LatencySummary.of(straight), LatencySummary.of(through));
-        System.out.println("failures through the daemon: " + failures(through));
-        saturate(daemon.get(0).resolve(route.path()));
+        print(LatencySummary.of(directResults), LatencySummary.of(daemonResults));
+        System.out.println("failures through the daemon: " + failures(daemonResults));
+        measureSaturation(daemons.get(0).resolve(route.path()));
     }
 
-    private void saturate(URI address) throws IOException, InterruptedException {
+    private void measureSaturation(URI address) throws IOException, InterruptedException {
         Duration duration = Duration.ofSeconds(seconds);
-        DaemonFigures before = DaemonFigures.read(URI.create(operator));
+        ResourceUsage before = ResourceUsage.read(URI.create(operator));
         ClosedLoop.Rates rates = ClosedLoop.run(address, SATURATING_CALLERS, duration);
-        DaemonFigures after = DaemonFigures.read(URI.create(operator));
+        ResourceUsage after = ResourceUsage.read(URI.create(operator));
         double cores = (after.cpuSeconds() - before.cpuSeconds()) / (duration.toNanos() / 1e9);
         System.out.printf(
                 Locale.ROOT,
@@ -101,12 +102,12 @@
                 after.heapBytes());
     }
 
-    private void print(LatencySummary straight, LatencySummary through) {
-        double added = through.p99() - straight.p99();
+    private void print(LatencySummary direct, LatencySummary throughDaemon) {
+        double added = throughDaemon.p99() - direct.p99();
         System.out.printf(
                 Locale.ROOT, "%-24s %7s %7s %9s %9s %9s%n", "path", "calls", "failed", "p50 ms", "p99 ms", "p99.9 ms");
-        printRow("direct", straight);
-        printRow(label, through);
+        printRow("direct", direct);
+        printRow(label, throughDaemon);
         System.out.printf(
                 Locale.ROOT,
                 "added at p99: %.2f ms, target %.1f ms: %s%n",
@@ -151,7 +152,7 @@
                 CALLS_PER_SECOND,
                 duration,
                 Duration.ZERO,
-                256,
+                ANSWER_BYTES,
                 1));
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/overhead/DaemonFigures.java
+++ b/bench/src/main/java/io/coppershelf/bench/overhead/ResourceUsage.java
@@ -7,19 +7,19 @@
 import java.net.http.HttpResponse;
 
 /**
- * The processor time and heap of a daemon, read from its metrics.
+ * The processor time and heap usage of a daemon, read from its metrics.
  *
- * @param cpuSeconds the processor time since its start
+ * @param cpuSeconds the processor time since the start of the daemon
  * @param heapBytes the heap in use
  */
-record DaemonFigures(double cpuSeconds, double heapBytes) {
+record ResourceUsage(double cpuSeconds, double heapBytes) {
     private static final HttpClient HTTP = HttpClient.newHttpClient();
 
-    static DaemonFigures read(URI operator) throws IOException, InterruptedException {
+    static ResourceUsage read(URI operator) throws IOException, InterruptedException {
         HttpRequest request =
                 HttpRequest.newBuilder(operator.resolve("/metrics")).build();
         String text = HTTP.send(request, HttpResponse.BodyHandlers.ofString()).body();
-        return new DaemonFigures(value(text, "process_cpu_seconds_total"), value(text, "jvm_heap_used_bytes"));
+        return new ResourceUsage(value(text, "process_cpu_seconds_total"), value(text, "jvm_heap_used_bytes"));
     }
 
     private static double value(String text, String metric) {
--- a/bench/src/main/java/io/coppershelf/bench/overhead/package-info.java
+++ b/bench/src/main/java/io/coppershelf/bench/overhead/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what a daemon adds to a request, and where it saturates. */
+/** Measures the latency that a daemon adds to a request, and the rate at which a daemon saturates. */
 package io.coppershelf.bench.overhead;
