--- a/bench/src/main/java/io/coppershelf/bench/slopes/FleetSlopes.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/FleetSlopes.java
@@ -6,19 +6,19 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** What the fleet view costs: memory per VM, and processor time of one ranking. */
+/** Costs of the fleet view: memory per VM, and processor time of one ranking. */
 final class FleetSlopes {
-    private static final int RANKINGS = 500;
+    private static final int MEASURED_RANKINGS = 500;
     private static final int VOTERS = 5;
 
     private FleetSlopes() {}
 
-    static List<Slope> all() {
+    static List<CostSeries> all() {
         int[] sizes = {1850, 3700, 7400};
         return List.of(
-                new Slope(
+                new CostSeries(
                         "fleet view memory per VM", "bytes", sizes, size -> HeapMeter.retainedBytes(() -> view(size))),
-                new Slope("processor time of one ranking, by VMs", "us", sizes, FleetSlopes::rankingMicros));
+                new CostSeries("processor time of one ranking, by VMs", "us", sizes, FleetSlopes::rankingMicros));
     }
 
     private static FleetSnapshot view(int size) {
@@ -28,6 +28,6 @@
 
     private static double rankingMicros(int size) {
         FleetSnapshot view = view(size);
-        return CpuMeter.microsPerRun(RANKINGS, run -> view.ranked("claim/key-" + run, "", VOTERS));
+        return CpuMeter.microsPerRun(MEASURED_RANKINGS, run -> view.ranked("claim/key-" + run, "", VOTERS));
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/slopes/FloorTraffic.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/FloorTraffic.java
@@ -19,13 +19,13 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Counts the bytes that five voters send to keep the granters' leases of many services, in virtual time. */
+/** Counts the bytes that five voters send to renew the granter leases of many services, in simulated time. */
 final class FloorTraffic {
     private static final int VOTERS = 5;
     private static final int ENVELOPE_BYTES = 32;
     private static final long TICK_NANOS = Duration.ofMillis(250).toNanos();
     private static final long END_NANOS = Duration.ofSeconds(90).toNanos();
-    private static final long COUNTED_FROM_NANOS = Duration.ofSeconds(30).toNanos();
+    private static final long COUNT_START_NANOS = Duration.ofSeconds(30).toNanos();
 
     private final List<FloorNode> nodes;
     private long bytes;
@@ -45,28 +45,28 @@
         for (FloorNode node : traffic.nodes) {
             IntStream.range(0, services).forEach(i -> node.becomeCandidateIfBestRanked("service-" + i));
         }
-        long counted = 0;
-        for (long now = TICK_NANOS; now <= END_NANOS; now += TICK_NANOS) {
-            if (now <= COUNTED_FROM_NANOS) {
-                counted = traffic.bytes;
+        long bytesBefore = 0;
+        for (long nowNanos = TICK_NANOS; nowNanos <= END_NANOS; nowNanos += TICK_NANOS) {
+            if (nowNanos <= COUNT_START_NANOS) {
+                bytesBefore = traffic.bytes;
             }
-            traffic.tick(now);
+            traffic.tick(nowNanos);
         }
-        return (traffic.bytes - counted) * 1e9 / (END_NANOS - COUNTED_FROM_NANOS);
+        return (traffic.bytes - bytesBefore) * 1e9 / (END_NANOS - COUNT_START_NANOS);
     }
 
-    private void tick(long now) {
+    private void tick(long nowNanos) {
         for (int sender = 0; sender < nodes.size(); sender++) {
-            deliver(sender, nodes.get(sender).onTick(now), now);
+            deliver(sender, nodes.get(sender).onTick(nowNanos), nowNanos);
         }
     }
 
-    private void deliver(int sender, List<FloorAction> actions, long now) {
+    private void deliver(int sender, List<FloorAction> actions, long nowNanos) {
         for (FloorAction action : actions) {
             if (action instanceof FloorAction.Send send) {
                 int target = Integer.parseInt(send.target().substring("vm-".length()));
                 bytes += target == sender ? 0 : size(send.message());
-                deliver(target, nodes.get(target).onMessage("vm-" + sender, send.message(), now), now);
+                deliver(target, nodes.get(target).onMessage("vm-" + sender, send.message(), nowNanos), nowNanos);
             }
         }
     }
--- a/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** What a server group costs its owner: memory per server, processor time per tick and per request. */
+/** Costs of a server group for its owner: memory per server, and processor time per tick and per request. */
 final class GroupSlopes {
     private static final int RUNS = 20_000;
     private static final long TICK_NANOS = Duration.ofMillis(50).toNanos();
@@ -21,16 +21,17 @@
 
     private GroupSlopes() {}
 
-    static List<Slope> all() {
+    static List<CostSeries> all() {
         int[] sizes = {19, 38, 76};
         return List.of(
-                new Slope(
+                new CostSeries(
                         "server group memory per server",
                         "bytes",
                         sizes,
-                        size -> HeapMeter.retainedBytes(() -> served(size))),
-                new Slope("processor time of a tick, by servers of the group", "us", sizes, GroupSlopes::tickMicros),
-                new Slope(
+                        size -> HeapMeter.retainedBytes(() -> groupAfterRequests(size))),
+                new CostSeries(
+                        "processor time of a tick, by servers of the group", "us", sizes, GroupSlopes::tickMicros),
+                new CostSeries(
                         "processor time of a request, by servers of the group",
                         "us",
                         sizes,
@@ -46,7 +47,7 @@
         return group;
     }
 
-    private static ServerGroup served(int servers) {
+    private static ServerGroup groupAfterRequests(int servers) {
         ServerGroup group = group(servers);
         for (long run = 0; run < RUNS; run++) {
             serve(group, run, run * 100_000);
@@ -55,7 +56,7 @@
     }
 
     private static double tickMicros(int servers) {
-        ServerGroup group = served(servers);
+        ServerGroup group = groupAfterRequests(servers);
         return CpuMeter.microsPerRun(RUNS, run -> group.on(new GroupEvent.Tick(), RUNS * 100_000L + run * TICK_NANOS));
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/slopes/HeapMeter.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/HeapMeter.java
@@ -5,21 +5,23 @@
 
 /** Measures the heap that an object retains. */
 final class HeapMeter {
-    private static final int COLLECTIONS = 3;
+    private static final int GC_RUNS = 3;
 
     private HeapMeter() {}
 
     /**
-     * Returns the bytes retained by what the supplier creates.
+     * Returns the bytes retained by the object that the supplier creates.
      *
-     * <p>It is created by a thread of its own, since a frame that has returned may keep alive what it pointed to.
+     * <p>The object is created on a separate thread, because a stack frame that has returned may keep the objects alive
+     * to which it referred.
      */
     static double retainedBytes(Supplier<Object> creation) {
-        return CompletableFuture.supplyAsync(() -> growth(creation), task -> new Thread(task, "creation").start())
+        return CompletableFuture.supplyAsync(
+                        () -> measureGrowth(creation), task -> new Thread(task, "creation").start())
                 .join();
     }
 
-    private static double growth(Supplier<Object> creation) {
+    private static double measureGrowth(Supplier<Object> creation) {
         long before = usedBytes();
         Object[] holder = {creation.get()};
         double growth = usedBytes() - before;
@@ -29,7 +31,7 @@
 
     private static long usedBytes() {
         Runtime runtime = Runtime.getRuntime();
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         return runtime.totalMemory() - runtime.freeMemory();
--- a/bench/src/main/java/io/coppershelf/bench/slopes/LinearFit.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/LinearFit.java
@@ -7,9 +7,9 @@
  *
  * @param slope the cost per unit of size
  * @param intercept the cost at size zero
- * @param determination the share of the variance that the line explains, at most 1
+ * @param rSquared the coefficient of determination: the share of the variance that the line explains, at most 1
  */
-record LinearFit(double slope, double intercept, double determination) {
+record LinearFit(double slope, double intercept, double rSquared) {
     /**
      * One measured point.
      *
@@ -22,17 +22,19 @@
     static LinearFit through(List<Point> points) {
         double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
         double meanCost = points.stream().mapToDouble(Point::cost).average().orElseThrow();
-        double sizeVariance =
-                points.stream().mapToDouble(p -> square(p.size() - meanSize)).sum();
+        double sizeVariance = points.stream()
+                .mapToDouble(point -> square(point.size() - meanSize))
+                .sum();
         double covariance = points.stream()
-                .mapToDouble(p -> (p.size() - meanSize) * (p.cost() - meanCost))
+                .mapToDouble(point -> (point.size() - meanSize) * (point.cost() - meanCost))
                 .sum();
         double slope = covariance / sizeVariance;
         double intercept = meanCost - slope * meanSize;
-        double costVariance =
-                points.stream().mapToDouble(p -> square(p.cost() - meanCost)).sum();
+        double costVariance = points.stream()
+                .mapToDouble(point -> square(point.cost() - meanCost))
+                .sum();
         double residual = points.stream()
-                .mapToDouble(p -> square(p.cost() - intercept - slope * p.size()))
+                .mapToDouble(point -> square(point.cost() - intercept - slope * point.size()))
                 .sum();
         return new LinearFit(slope, intercept, costVariance == 0 ? 1 : 1 - residual / costVariance);
     }
--- a/bench/src/main/java/io/coppershelf/bench/slopes/RoleSlopes.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/RoleSlopes.java
@@ -9,35 +9,35 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** What the roles of a daemon cost beside traffic: claims, the time line, the floor's leases. */
+/** Costs of the roles of a daemon other than proxying requests: claims, the time line and the floor leases. */
 final class RoleSlopes {
     private static final int CLAIM_CAPACITY = 1_000_000;
-    private static final int CLAIMS = 50_000;
+    private static final int MEASURED_CLAIMS = 50_000;
     private static final Duration REMAINING = Duration.ofSeconds(2);
 
     private RoleSlopes() {}
 
-    static List<Slope> all() {
+    static List<CostSeries> all() {
         return List.of(
-                memory("claim memory per attempt", RoleSlopes::claims, 12_500, 25_000, 50_000),
-                new Slope(
+                memory("claim memory per attempt", RoleSlopes::claimTable, 12_500, 25_000, 50_000),
+                new CostSeries(
                         "processor time of a claim at one holder, by claims held",
                         "us",
                         new int[] {12_500, 25_000, 50_000},
                         RoleSlopes::claimMicros),
-                memory("time line memory per event", RoleSlopes::timeline, 1024, 2048, 4096),
-                new Slope(
+                memory("time line memory per event", RoleSlopes::timelineBuffer, 1024, 2048, 4096),
+                new CostSeries(
                         "floor bytes sent per second over all voters, by services",
                         "B/s",
                         new int[] {20, 40, 80},
                         FloorTraffic::bytesPerSecond));
     }
 
-    private static Slope memory(String name, IntFunction<Object> creation, int... sizes) {
-        return new Slope(name, "bytes", sizes, size -> HeapMeter.retainedBytes(() -> creation.apply(size)));
+    private static CostSeries memory(String name, IntFunction<Object> creation, int... sizes) {
+        return new CostSeries(name, "bytes", sizes, size -> HeapMeter.retainedBytes(() -> creation.apply(size)));
     }
 
-    private static ClaimTable claims(int count) {
+    private static ClaimTable claimTable(int count) {
         ClaimTable table = new ClaimTable(CLAIM_CAPACITY);
         for (int i = 0; i < count; i++) {
             claim(table, "held", i);
@@ -46,8 +46,8 @@
     }
 
     private static double claimMicros(int held) {
-        ClaimTable table = claims(held);
-        return CpuMeter.microsPerRun(CLAIMS, run -> claim(table, "new", run));
+        ClaimTable table = claimTable(held);
+        return CpuMeter.microsPerRun(MEASURED_CLAIMS, run -> claim(table, "new", run));
     }
 
     private static void claim(ClaimTable table, String prefix, long index) {
@@ -55,7 +55,7 @@
         table.claim(key, new RequestDigest(index, ~index), "vm-17-1796000000000-" + index, REMAINING, index);
     }
 
-    private static TimelineBuffer timeline(int events) {
+    private static TimelineBuffer timelineBuffer(int events) {
         TimelineBuffer buffer = new TimelineBuffer(
                 new HybridLogicalClock(io.coppershelf.component.TimeSource.system()), "vm-17", events);
         for (int i = 0; i < events; i++) {
--- a/bench/src/main/java/io/coppershelf/bench/slopes/SampleObjects.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/SampleObjects.java
@@ -12,7 +12,7 @@
 import java.util.function.IntFunction;
 import java.util.stream.IntStream;
 
-/** Objects of the shape that a large installation has. */
+/** Builds objects in the numbers and shapes of a large installation. */
 final class SampleObjects {
     private static final int DATA_CENTRES = 31;
     private static final int SERVICES = 3200;
