--- a/bench/src/main/java/io/coppershelf/bench/decisions/Attempt.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Attempt.java
@@ -1,9 +1,9 @@
 package io.coppershelf.bench.decisions;
 
 /**
- * One try of a request.
+ * One attempt of a request.
  *
- * @param attemptId its id
+ * @param attemptId the id of the attempt
  * @param request the request
  */
 record Attempt(String attemptId, BenchRequest request) {}
--- a/bench/src/main/java/io/coppershelf/bench/decisions/BenchRequest.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/BenchRequest.java
@@ -1,13 +1,13 @@
 package io.coppershelf.bench.decisions;
 
-/** A caller's request and what really happened to it. */
+/** A caller's request, with what the simulation recorded about its attempts, runs and answer. */
 final class BenchRequest {
     private final long number;
     private final int vm;
     private final KindProfile kind;
     private final long arrivedNanos;
     private int runs;
-    private int tries;
+    private int attempts;
     private boolean answered;
 
     BenchRequest(long number, int vm, KindProfile kind, long arrivedNanos) {
@@ -33,13 +33,13 @@
         return arrivedNanos + kind.deadlineNanos();
     }
 
-    /** Returns the id of a new try. */
+    /** Returns the id of a new attempt. */
     String nextAttemptId() {
-        return number + "/" + tries++;
+        return number + "/" + attempts++;
     }
 
     int attempts() {
-        return tries;
+        return attempts;
     }
 
     /** Counts a run on a server. */
@@ -51,7 +51,7 @@
         return runs;
     }
 
-    /** Marks the request as answered; returns whether it was not so before. */
+    /** Marks the request as answered; returns whether it was unanswered before. */
     boolean markAnswered() {
         boolean first = !answered;
         answered = true;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Columns.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Columns.java
@@ -4,14 +4,12 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** The columns of the tables. */
+/** The columns of the result tables. */
 final class Columns {
-    /** The share of refusals for the usual time of a refusal. */
-    private static final double MOST = 0.99;
-
     private static final double MEDIAN = 0.5;
-    private static final double NINE_OF_TEN = 0.9;
-    private static final double ALL = 1.0;
+    private static final double P90 = 0.9;
+    private static final double P99 = 0.99;
+    private static final double WORST = 1.0;
 
     /**
      * A column.
@@ -31,8 +29,8 @@
 
     static final List<Column> ALL_COLUMNS = List.of(
             new Column("detectionMedianSeconds", "det.med s", 2, r -> detection(r, MEDIAN)),
-            new Column("detectionSeconds90", "det.p90 s", 2, r -> detection(r, NINE_OF_TEN)),
-            new Column("detectionWorstSeconds", "det.max s", 2, r -> detection(r, ALL)),
+            new Column("detectionSeconds90", "det.p90 s", 2, r -> detection(r, P90)),
+            new Column("detectionWorstSeconds", "det.max s", 2, r -> detection(r, WORST)),
             new Column("falseEjectionsPerServerHour", "false ej/h", 2, RunResult::falseEjectionsPerServerHour),
             new Column("weightedShareInTime", "in time", 4, RunResult::shareInTime),
             new Column("weightedWorkCarried", "carried", 4, RunResult::shareCarried),
@@ -40,14 +38,14 @@
             new Column("lost", "lost", 0, r -> (double) r.lost),
             new Column("late", "late", 0, r -> (double) r.late),
             new Column("refused", "refused", 0, r -> (double) r.refused),
-            new Column("refusalMillis99", "ref.p99 ms", 1, r -> RunResult.quantile(r.refusalMillis, MOST)),
-            new Column("refusalMillisWorst", "ref.max ms", 0, r -> RunResult.quantile(r.refusalMillis, ALL)),
+            new Column("refusalMillis99", "ref.p99 ms", 1, r -> RunResult.quantile(r.refusalMillis, P99)),
+            new Column("refusalMillisWorst", "ref.max ms", 0, r -> RunResult.quantile(r.refusalMillis, WORST)),
             new Column("wrongOutcome", "wrong", 0, r -> (double) r.wrongOutcome),
             new Column("executedTwice", "twice", 0, r -> (double) r.executedTwice),
             new Column("shed", "shed", 0, r -> (double) r.shed),
             new Column("lowestServersAboveFloor", "above floor", 0, r -> (double) r.lowestAboveFloor),
             new Column("latencyMillisMedian", "lat.med ms", 0, r -> RunResult.quantile(r.latencyMillis, MEDIAN)),
-            new Column("latencyMillis99", "lat.p99 ms", 0, r -> RunResult.quantile(r.latencyMillis, MOST)),
+            new Column("latencyMillis99", "lat.p99 ms", 0, r -> RunResult.quantile(r.latencyMillis, P99)),
             new Column("messagesPerRequest", "msg/req", 2, RunResult::messagesPerRequest));
 
     private Columns() {}
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Customer.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Customer.java
@@ -7,7 +7,7 @@
     ASSOCIATION(0.8, 500 * Units.MICROS, List.of("herning", "viborg", "odense", "vejle")),
     SYRMATOURGIA(0.2, 900 * Units.MICROS, List.of("thess-a", "thess-b", "thess-c", "thess-d"));
 
-    /** The entry VMs of each customer. */
+    /** The number of entry VMs of each customer. */
     static final int VMS = 36;
 
     private final double detectionWeight;
@@ -27,12 +27,14 @@
         return this == ASSOCIATION ? "Association" : "Syrmatourgia";
     }
 
-    /** Returns how detection time weighs against false ejections. */
+    /**
+     * Returns the weight of detection time against false ejections, from 0 (few false ejections) to 1 (fast detection).
+     */
     double detectionWeight() {
         return detectionWeight;
     }
 
-    /** Returns the one-way time between data centres. */
+    /** Returns the one-way network delay between data centres. */
     long oneWayNanos() {
         return oneWayNanos;
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/DecisionsBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/DecisionsBench.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Prints the measurements of the decisions as tables, or as JSON lines with {@code --json}. */
+/** Measures the decisions and prints the results as tables, or as JSON lines with {@code --json}. */
 public final class DecisionsBench {
     private DecisionsBench() {}
 
     /**
-     * Runs all tables, or those named.
+     * Runs all experiments, or those named.
      *
-     * @param args {@code --json}, names of tables
+     * @param args {@code --json}, names of experiments
      */
     public static void main(String[] args) {
         List<String> names = new ArrayList<>(List.of(args));
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Experiment.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Experiment.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 
 /**
- * A table to be measured.
+ * An experiment, whose results are printed as one table.
  *
  * @param name its name
  * @param title its heading
@@ -12,14 +12,14 @@
  */
 record Experiment(String name, String title, List<Cell> cells) {
     /**
-     * A row to be measured.
+     * One row of the table, measured over all services of the customer.
      *
-     * @param customer the customer, whose services all take part
+     * @param customer the customer
      * @param fault the fault
-     * @param load the load as a share of what the slots can carry
-     * @param policy the decisions
+     * @param load the load as a share of the capacity of the slots
+     * @param policy the measured policy
      * @param seeds the number of seeds
-     * @param endNanos the length of each run
+     * @param endNanos the time at which the arrivals of each run end
      */
     record Cell(Customer customer, Fault fault, double load, Policy policy, int seeds, long endNanos) {
         private List<RunSpec> specs() {
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Measures all rows. */
+    /** Runs all cells and returns their rows. */
     List<Row> measure() {
         return cells.parallelStream().map(this::measure).toList();
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Experiments.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Experiments.java
@@ -4,19 +4,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The tables of {@code bin/bench decisions}. */
+/** The experiments of {@code bin/bench decisions}. */
 final class Experiments {
     private static final List<Double> LOADS = List.of(0.4, 0.7, 1.0, 2.0);
     private static final List<Double> BASELINE_LOADS = List.of(0.4, 1.0);
     private static final List<Policy> BASELINES =
             List.of(Policy.PROBES, Policy.FIVE_ERRORS, Policy.OUTLIERS, Policy.ROUND_ROBIN, Policy.TWO_CHOICES);
-    private static final List<Policy> SLOT_WAYS =
+    private static final List<Policy> SLOT_POLICIES =
             List.of(Policy.TWO_CHOICES, Policy.OWNER_PER_SERVER, Policy.COPPERSHELF, Policy.LEASES);
     private static final List<Fault> HISTORY_FAULTS = List.of(Fault.STALL, Fault.SLOW_5, Fault.ERRORS, Fault.FLAPPING);
 
-    private static final long LENGTH = 50 * Units.SECONDS;
-    private static final long HISTORY = 100 * Units.SECONDS;
-    private static final long LONG = 200 * Units.SECONDS;
+    private static final long RUN_NANOS = 50 * Units.SECONDS;
+    private static final long HISTORY_RUN_NANOS = 100 * Units.SECONDS;
+    private static final long LONG_RUN_NANOS = 200 * Units.SECONDS;
     private static final int SEEDS = 2;
     private static final int SMALL_SEEDS = 4;
     private static final int STALL_SEEDS = 8;
@@ -24,7 +24,7 @@
 
     private Experiments() {}
 
-    /** Returns all tables. */
+    /** Returns all experiments, in the order in which they are printed. */
     static List<Experiment> all() {
         return List.of(faults(), baselines(), slots(), history());
     }
@@ -34,10 +34,10 @@
         for (Customer customer : Customer.values()) {
             for (Fault fault : Fault.values()) {
                 for (double load : LOADS) {
-                    int usual = customer == Customer.SYRMATOURGIA ? SMALL_SEEDS : SEEDS;
-                    int seeds = fault == Fault.STALL && load == LOADS.get(0) ? STALL_SEEDS : usual;
-                    long length = fault == Fault.STALL && load == 1.0 ? LONG : LENGTH;
-                    cells.add(new Cell(customer, fault, load, Policy.COPPERSHELF, seeds, length));
+                    int defaultSeeds = customer == Customer.SYRMATOURGIA ? SMALL_SEEDS : SEEDS;
+                    int seeds = fault == Fault.STALL && load == LOADS.get(0) ? STALL_SEEDS : defaultSeeds;
+                    long endNanos = fault == Fault.STALL && load == 1.0 ? LONG_RUN_NANOS : RUN_NANOS;
+                    cells.add(new Cell(customer, fault, load, Policy.COPPERSHELF, seeds, endNanos));
                 }
             }
         }
@@ -50,7 +50,7 @@
             for (Fault fault : Fault.values()) {
                 for (double load : BASELINE_LOADS) {
                     int seeds = fault == Fault.STALL && load == BASELINE_LOADS.get(0) ? STALL_SEEDS : BASELINE_SEEDS;
-                    BASELINES.forEach(policy -> cells.add(new Cell(customer, fault, load, policy, seeds, LENGTH)));
+                    BASELINES.forEach(policy -> cells.add(new Cell(customer, fault, load, policy, seeds, RUN_NANOS)));
                 }
             }
         }
@@ -61,7 +61,8 @@
         List<Cell> cells = new ArrayList<>();
         for (Customer customer : Customer.values()) {
             for (double load : LOADS) {
-                SLOT_WAYS.forEach(way -> cells.add(new Cell(customer, Fault.NONE, load, way, SEEDS, LENGTH)));
+                SLOT_POLICIES.forEach(
+                        policy -> cells.add(new Cell(customer, Fault.NONE, load, policy, SEEDS, RUN_NANOS)));
             }
         }
         return new Experiment("slots", "Ways to share slots between entry VMs", cells);
@@ -72,8 +73,8 @@
         for (Customer customer : Customer.values()) {
             for (Fault fault : HISTORY_FAULTS) {
                 int seeds = fault == Fault.FLAPPING ? SMALL_SEEDS : SEEDS;
-                cells.add(new Cell(customer, fault, LOADS.get(0), Policy.COPPERSHELF, seeds, HISTORY));
-                cells.add(new Cell(customer, fault, LOADS.get(0), Policy.UNEQUAL, seeds, HISTORY));
+                cells.add(new Cell(customer, fault, LOADS.get(0), Policy.COPPERSHELF, seeds, HISTORY_RUN_NANOS));
+                cells.add(new Cell(customer, fault, LOADS.get(0), Policy.UNEQUAL, seeds, HISTORY_RUN_NANOS));
             }
         }
         return new Experiment("history", "Shorter limits for servers that were ejected not long ago", cells);
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
@@ -9,7 +9,9 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A backend server: runs tries in its slots, sheds what is too much, and fails as the plan says. */
+/**
+ * A simulated backend server: runs attempts in its slots, sheds those beyond, and fails according to the fault plan.
+ */
 final class FakeServer {
     private final String name;
     private final int slots;
@@ -19,11 +21,11 @@
     private final Map<String, Run> running = new HashMap<>();
 
     /**
-     * How a try ended on the server.
+     * The end of an attempt on the server.
      *
      * @param status the HTTP status of an answer
-     * @param error why there is none
-     * @param state what the server says of itself
+     * @param error the error if there is no answer
+     * @param state the state that the server reports
      */
     record Answer(Optional<Integer> status, Optional<ErrorKind> error, ServerState state) {}
 
@@ -37,7 +39,7 @@
         this.random = random;
     }
 
-    /** Takes a try. The reply is never called if the server stalls for good. */
+    /** Receives an attempt. The reply is never called if the server doesn't recover from a stall. */
     void start(Attempt attempt, Consumer<Answer> reply) {
         ServerState state = plan.reportedState(name, time.now());
         if (state == ServerState.DRAINING) {
@@ -79,19 +81,19 @@
         reply.accept(new Answer(Optional.empty(), Optional.of(ErrorKind.SERVER_REFUSED), state));
     }
 
-    /** Cancels a try that has started; a stalled server does not react. */
+    /** Cancels an attempt that has started; a stalled server ignores it. */
     void cancel(String attemptId) {
         if (plan.speed(name).speedAt(time.now()) > 0) {
             running.remove(attemptId);
         }
     }
 
-    /** Returns the tries that run. */
+    /** Returns the number of attempts in progress. */
     int load() {
         return running.size();
     }
 
-    /** Returns the slots. */
+    /** Returns the number of slots. */
     int slots() {
         return slots;
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Fault.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Fault.java
@@ -1,6 +1,6 @@
 package io.coppershelf.bench.decisions;
 
-/** The faults of the table. */
+/** The injected faults. */
 enum Fault {
     NONE("none"),
     STALL("full stall, good probes"),
@@ -23,12 +23,12 @@
         this.title = title;
     }
 
-    /** Returns the name in the table. */
+    /** Returns the name in the tables. */
     String title() {
         return title;
     }
 
-    /** Returns whether a server is sick in it. */
+    /** Returns whether the fault makes a server unhealthy, so that it should be ejected. */
     boolean makesServerUnhealthy() {
         return switch (this) {
             case STALL, SLOW_3, SLOW_5, SLOW_20, ERRORS, FLAPPING, CUT, TWO_STALLED -> true;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
@@ -10,20 +10,22 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** What goes wrong in a run, when, and on which servers. */
+/** The faults of a run: which fault occurs, when, and on which servers. */
 final class FaultPlan {
-    /** When the fault begins. */
-    static final long ONSET = 15 * Units.SECONDS;
+    /** Time at which the fault begins. */
+    static final long ONSET_NANOS = 15 * Units.SECONDS;
 
-    private static final long FLAP = 5 * Units.SECONDS;
-    /** How long the paused observer is paused. */
-    static final long PAUSE = 30 * Units.SECONDS;
+    /** Duration of each stalled and each healthy phase of a flapping server. */
+    private static final long FLAP_NANOS = 5 * Units.SECONDS;
 
-    private static final long COLD_LENGTH = 15 * Units.SECONDS;
+    /** Duration of the pause of the host that observes the servers. */
+    static final long PAUSE_NANOS = 30 * Units.SECONDS;
+
+    private static final long COLD_NANOS = 15 * Units.SECONDS;
     private static final double COLD_SPEED = 0.25;
     private static final double HALF_WARM_SPEED = 0.6;
     private static final double ERROR_SHARE = 0.5;
-    private static final double USUAL_ERROR_SHARE = 0.001;
+    private static final double BASE_ERROR_SHARE = 0.001;
     private static final double SHED_SHARE = 0.2;
 
     private final Fault fault;
@@ -31,14 +33,14 @@
     private final long endNanos;
     private final Map<String, SpeedTimeline> speeds = new HashMap<>();
     private final Set<String> targets = new HashSet<>();
-    private final List<UnhealthySpan> sickSpans = new ArrayList<>();
+    private final List<UnhealthySpan> unhealthySpans = new ArrayList<>();
 
     /**
-     * A span in which a server is sick.
+     * A time span in which a server is unhealthy.
      *
      * @param server the server
-     * @param fromNanos its begin
-     * @param untilNanos its end
+     * @param fromNanos the start of the span
+     * @param untilNanos the end of the span
      */
     record UnhealthySpan(String server, long fromNanos, long untilNanos) {}
 
@@ -65,7 +67,7 @@
             case SLOW_3 -> slow(server, 1.0 / 3);
             case SLOW_5 -> slow(server, 1.0 / 5);
             case SLOW_20 -> slow(server, 1.0 / 20);
-            case ERRORS, CUT -> sick(server, ONSET, endNanos);
+            case ERRORS, CUT -> addUnhealthySpan(server, ONSET_NANOS, endNanos);
             case FLAPPING -> flap(server);
             case COLD -> startCold(server);
             case DRAIN -> targets.add(server);
@@ -73,15 +75,15 @@
     }
 
     private void slow(String server, double speed) {
-        speeds.put(server, new SpeedTimeline().from(ONSET, speed));
-        sick(server, ONSET, endNanos);
+        speeds.put(server, new SpeedTimeline().from(ONSET_NANOS, speed));
+        addUnhealthySpan(server, ONSET_NANOS, endNanos);
     }
 
     private void flap(String server) {
         SpeedTimeline speed = new SpeedTimeline();
-        for (long at = ONSET; at < endNanos; at += 2 * FLAP) {
-            speed.from(at, 0).from(at + FLAP, 1);
-            sick(server, at, at + FLAP);
+        for (long at = ONSET_NANOS; at < endNanos; at += 2 * FLAP_NANOS) {
+            speed.from(at, 0).from(at + FLAP_NANOS, 1);
+            addUnhealthySpan(server, at, at + FLAP_NANOS);
         }
         speeds.put(server, speed);
     }
@@ -90,15 +92,15 @@
         speeds.put(
                 server,
                 new SpeedTimeline()
-                        .from(ONSET, COLD_SPEED)
-                        .from(ONSET + COLD_LENGTH / 2, HALF_WARM_SPEED)
-                        .from(ONSET + COLD_LENGTH, 1));
+                        .from(ONSET_NANOS, COLD_SPEED)
+                        .from(ONSET_NANOS + COLD_NANOS / 2, HALF_WARM_SPEED)
+                        .from(ONSET_NANOS + COLD_NANOS, 1));
         targets.add(server);
     }
 
-    private void sick(String server, long from, long until) {
+    private void addUnhealthySpan(String server, long from, long until) {
         targets.add(server);
-        sickSpans.add(new UnhealthySpan(server, from, Math.min(until, endNanos)));
+        unhealthySpans.add(new UnhealthySpan(server, from, Math.min(until, endNanos)));
     }
 
     /** Returns the fault. */
@@ -106,19 +108,19 @@
         return fault;
     }
 
-    /** Returns the servers that the fault is about. */
+    /** Returns the servers that the fault affects. */
     Set<String> targets() {
         return targets;
     }
 
-    /** Returns the spans in which servers are sick. */
+    /** Returns the time spans in which servers are unhealthy. */
     List<UnhealthySpan> unhealthySpans() {
-        return sickSpans;
+        return unhealthySpans;
     }
 
-    /** Returns whether the server was sick at the time or shortly before. */
+    /** Returns whether the server was unhealthy at the given time or within the look-back time before. */
     boolean wasRecentlyUnhealthy(String server, long nanos, long lookBackNanos) {
-        return sickSpans.stream()
+        return unhealthySpans.stream()
                 .anyMatch(span -> span.server().equals(server)
                         && nanos >= span.fromNanos()
                         && nanos <= span.untilNanos() + lookBackNanos);
@@ -129,42 +131,42 @@
         return speeds.computeIfAbsent(server, absent -> new SpeedTimeline());
     }
 
-    /** Returns the share of errors of the kind on the server. */
+    /** Returns the share of the server's answers to the request kind that are errors. */
     double errorShare(String server, KindProfile kind, long nanos) {
-        boolean hit = fault == Fault.ERRORS && nanos >= ONSET && targets.contains(server);
-        return hit && kind.equals(service.kinds().get(0)) ? ERROR_SHARE : USUAL_ERROR_SHARE;
+        boolean faulty = fault == Fault.ERRORS && nanos >= ONSET_NANOS && targets.contains(server);
+        return faulty && kind.equals(service.kinds().get(0)) ? ERROR_SHARE : BASE_ERROR_SHARE;
     }
 
-    /** Returns the share of tries that a server sheds though it has slots. */
+    /** Returns the share of attempts that a server sheds although it has free slots. */
     double shedShare(long nanos) {
-        return fault == Fault.SHEDDING && nanos >= ONSET ? SHED_SHARE : 0;
+        return fault == Fault.SHEDDING && nanos >= ONSET_NANOS ? SHED_SHARE : 0;
     }
 
-    /** Returns whether answers of the server are lost on their way to its owner. */
+    /** Returns whether answers of the server are lost on the way to its owner. */
     boolean isCut(String server, long nanos) {
-        return fault == Fault.CUT && nanos >= ONSET && targets.contains(server);
+        return fault == Fault.CUT && nanos >= ONSET_NANOS && targets.contains(server);
     }
 
-    /** Returns what the server says of itself. */
+    /** Returns the state that the server reports. */
     ServerState reportedState(String server, long nanos) {
-        if (nanos < ONSET || !targets.contains(server)) {
+        if (nanos < ONSET_NANOS || !targets.contains(server)) {
             return ServerState.READY;
         }
         return switch (fault) {
             case DRAIN -> ServerState.DRAINING;
-            case COLD -> nanos < ONSET + COLD_LENGTH ? ServerState.COLD : ServerState.READY;
+            case COLD -> nanos < ONSET_NANOS + COLD_NANOS ? ServerState.COLD : ServerState.READY;
             default -> ServerState.READY;
         };
     }
 
-    /** Returns until when the first group's owner is paused at the given time, empty if it runs. */
+    /** Returns the end of the host's pause if it is paused at the given time; only the first host is ever paused. */
     Optional<Long> pausedUntil(int host, long nanos) {
-        boolean paused = fault == Fault.PAUSE && host == 0 && nanos >= ONSET && nanos < ONSET + PAUSE;
-        return paused ? Optional.of(ONSET + PAUSE) : Optional.empty();
+        boolean paused = fault == Fault.PAUSE && host == 0 && nanos >= ONSET_NANOS && nanos < ONSET_NANOS + PAUSE_NANOS;
+        return paused ? Optional.of(ONSET_NANOS + PAUSE_NANOS) : Optional.empty();
     }
 
-    /** Returns whether load reports mislead at the given time. */
+    /** Returns whether load reports are misleading at the given time. */
     boolean hasMisleadingReports(long nanos) {
-        return fault == Fault.REPORTS && nanos >= ONSET;
+        return fault == Fault.REPORTS && nanos >= ONSET_NANOS;
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FloorCounter.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FloorCounter.java
@@ -5,43 +5,46 @@
 import java.util.Map;
 import java.util.Set;
 
-/** An exact count of the rights to eject: at most servers less floor less those that are out for another reason. */
+/**
+ * Grants the right to eject servers. The number of grants never exceeds the servers above the floor, less those that
+ * are out of service for another reason.
+ */
 final class FloorCounter {
-    /** How long a right holds. */
-    static final long RIGHT = 5 * Units.SECONDS;
+    /** Duration of a grant. */
+    static final long GRANT_NANOS = 5 * Units.SECONDS;
 
-    private final int spare;
+    private final int maxOutOfService;
     private final Map<String, Long> untilByServer = new HashMap<>();
-    private final Set<String> out = new HashSet<>();
+    private final Set<String> outOfService = new HashSet<>();
 
     FloorCounter(int servers, int floor) {
-        this.spare = servers - floor;
+        this.maxOutOfService = servers - floor;
     }
 
-    /** Grants or renews a right if there is one left. */
+    /** Grants or renews the right to eject the server if the floor permits it; returns whether it is granted. */
     boolean request(String server, long nowNanos) {
         untilByServer.values().removeIf(until -> until <= nowNanos);
-        Set<String> taken = new HashSet<>(untilByServer.keySet());
-        taken.addAll(out);
-        taken.remove(server);
-        if (taken.size() >= spare) {
+        Set<String> unavailable = new HashSet<>(untilByServer.keySet());
+        unavailable.addAll(outOfService);
+        unavailable.remove(server);
+        if (unavailable.size() >= maxOutOfService) {
             return false;
         }
-        untilByServer.put(server, nowNanos + RIGHT);
+        untilByServer.put(server, nowNanos + GRANT_NANOS);
         return true;
     }
 
-    /** Takes a right back. */
+    /** Releases a grant. */
     void release(String server) {
         untilByServer.remove(server);
     }
 
-    /** Takes in whether the server is draining or cold. */
-    void reportOut(String server, boolean isOut) {
-        if (isOut) {
-            out.add(server);
+    /** Records whether the server is draining or cold, which counts as out of service. */
+    void reportOutOfService(String server, boolean isOutOfService) {
+        if (isOutOfService) {
+            outOfService.add(server);
         } else {
-            out.remove(server);
+            outOfService.remove(server);
         }
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
@@ -33,50 +33,52 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A VM that decides for some servers: drives the decisions and carries out what they want. */
+/** A VM that makes the decisions for some servers: delivers the events to them and performs their actions. */
 final class GroupHost {
-    private static final long TICK = 50 * Units.MILLIS;
-    private static final long TO_SERVER = 150 * Units.MICROS;
-    private static final long TO_GRANTER = 3 * Units.MILLIS;
-    private static final long PROBE = 25 * Units.MILLIS;
-    private static final long PROBE_LIMIT = 250 * Units.MILLIS;
-    private static final long CANCEL_LIMIT = 100 * Units.MILLIS;
+    private static final long TICK_NANOS = 50 * Units.MILLIS;
+    private static final long SERVER_DELAY_NANOS = 150 * Units.MICROS;
+    /** One-way delay to the VM that issues grants and to a VM that is queried for reachability. */
+    private static final long PEER_DELAY_NANOS = 3 * Units.MILLIS;
+
+    private static final long PROBE_ROUND_TRIP_NANOS = 25 * Units.MILLIS;
+    private static final long PROBE_TIMEOUT_NANOS = 250 * Units.MILLIS;
+    private static final long CANCEL_TIMEOUT_NANOS = 100 * Units.MILLIS;
 
     private final int index;
     private final ServerGroupDecisions decisions;
-    private final ServiceSimulation world;
-    private final Map<String, Attempt> open = new HashMap<>();
-    private final Map<String, String> serverByTry = new HashMap<>();
+    private final ServiceSimulation simulation;
+    private final Map<String, Attempt> openAttempts = new HashMap<>();
+    private final Map<String, String> serverByAttempt = new HashMap<>();
 
-    GroupHost(int index, ServerGroupDecisions decisions, ServiceSimulation world) {
+    GroupHost(int index, ServerGroupDecisions decisions, ServiceSimulation simulation) {
         this.index = index;
         this.decisions = decisions;
-        this.world = world;
+        this.simulation = simulation;
     }
 
-    /** Configures the decisions and begins to tick. */
+    /** Configures the decisions and starts the ticks. */
     void start(List<ServerSpec> servers) {
-        deliver(new Configured(world.spec().service().spec(), servers));
+        deliver(new Configured(simulation.spec().service().spec(), servers));
         tick();
     }
 
     private void tick() {
         deliver(new Tick());
-        world.time().after(TICK, this::tickOnceAwake);
+        simulation.time().after(TICK_NANOS, this::tickAfterPause);
     }
 
-    private void tickOnceAwake() {
-        pausedUntil().ifPresentOrElse(until -> world.time().at(until, this::tick), this::tick);
+    private void tickAfterPause() {
+        pausedUntil().ifPresentOrElse(until -> simulation.time().at(until, this::tick), this::tick);
     }
 
     private Optional<Long> pausedUntil() {
-        return world.plan().pausedUntil(index, world.time().now());
+        return simulation.plan().pausedUntil(index, simulation.time().now());
     }
 
-    /** Takes a try of an entry VM. */
+    /** Receives an attempt from an entry VM. */
     void accept(Attempt attempt) {
         KindProfile kind = attempt.request().kind();
-        open.put(attempt.attemptId(), attempt);
+        openAttempts.put(attempt.attemptId(), attempt);
         deliver(new RequestArrived(
                 attempt.attemptId(),
                 kind.name(),
@@ -89,70 +91,76 @@
     private void deliver(GroupEvent event) {
         Optional<Long> paused = pausedUntil();
         if (paused.isPresent()) {
-            world.time().at(paused.get(), () -> deliver(event));
+            simulation.time().at(paused.get(), () -> deliver(event));
             return;
         }
-        for (GroupAction action : decisions.on(event, world.time().now())) {
-            carryOut(action);
+        for (GroupAction action : decisions.on(event, simulation.time().now())) {
+            perform(action);
         }
     }
 
-    private void carryOut(GroupAction action) {
+    private void perform(GroupAction action) {
         if (action instanceof Dispatch dispatch) {
             dispatch(dispatch);
         } else if (action instanceof Refuse refuse) {
             reply(refuse.attemptId(), Reply.notRun());
         } else if (action instanceof CancelOnServer cancel) {
             cancel(cancel);
-        } else if (action instanceof RequestEjection ask) {
-            world.time().after(TO_GRANTER, () -> askFloor(ask.server()));
+        } else if (action instanceof RequestEjection request) {
+            simulation.time().after(PEER_DELAY_NANOS, () -> requestGrant(request.server()));
         } else if (action instanceof ReleaseEjection release) {
-            world.floor().release(release.server());
+            simulation.floor().release(release.server());
         } else if (action instanceof Probe probe) {
             probe(probe.server());
-        } else if (action instanceof QueryReachability ask) {
-            world.time().after(TO_GRANTER, () -> deliver(new ReachabilityReported(ask.server(), true)));
+        } else if (action instanceof QueryReachability query) {
+            simulation.time().after(PEER_DELAY_NANOS, () -> deliver(new ReachabilityReported(query.server(), true)));
         } else if (action instanceof ShareServiceTimes share) {
-            world.shareBaseline(index, new ServiceTimesReceived("host-" + index, share.typicalNanos()));
+            simulation.shareServiceTimes(index, new ServiceTimesReceived("host-" + index, share.typicalNanos()));
         } else if (action instanceof ConditionChanged changed) {
-            world.conditionChanged(changed);
+            simulation.recordConditionChange(changed);
         }
     }
 
     private void dispatch(Dispatch dispatch) {
-        Attempt attempt = open.get(dispatch.attemptId());
-        long now = world.time().now();
-        world.recorder().recordDispatch(dispatch.server(), condition(dispatch.server()), now);
-        serverByTry.put(attempt.attemptId(), dispatch.server());
-        FakeServer server = world.server(dispatch.server());
-        world.time().after(TO_SERVER, () -> server.start(attempt, answer -> answered(dispatch, answer)));
-        world.time().at(attempt.request().deadlineNanos(), () -> giveUp(dispatch));
+        Attempt attempt = openAttempts.get(dispatch.attemptId());
+        long now = simulation.time().now();
+        simulation.recorder().recordDispatch(dispatch.server(), condition(dispatch.server()), now);
+        serverByAttempt.put(attempt.attemptId(), dispatch.server());
+        FakeServer server = simulation.server(dispatch.server());
+        simulation
+                .time()
+                .after(SERVER_DELAY_NANOS, () -> server.start(attempt, answer -> receiveAnswer(dispatch, answer)));
+        simulation.time().at(attempt.request().deadlineNanos(), () -> endAtDeadline(dispatch));
     }
 
     private ServerCondition condition(String server) {
-        return decisions.status(world.time().now()).servers().stream()
+        return decisions.status(simulation.time().now()).servers().stream()
                 .filter(status -> status.server().equals(server))
                 .findFirst()
                 .orElseThrow()
                 .condition();
     }
 
-    private void answered(Dispatch dispatch, Answer answer) {
-        if (!world.plan().isCut(dispatch.server(), world.time().now())) {
-            world.time().after(TO_SERVER, () -> end(dispatch.attemptId(), answer));
+    private void receiveAnswer(Dispatch dispatch, Answer answer) {
+        if (!simulation.plan().isCut(dispatch.server(), simulation.time().now())) {
+            simulation.time().after(SERVER_DELAY_NANOS, () -> end(dispatch.attemptId(), answer));
         }
     }
 
-    private void giveUp(Dispatch dispatch) {
-        if (open.containsKey(dispatch.attemptId())) {
-            world.server(dispatch.server()).cancel(dispatch.attemptId());
+    private void endAtDeadline(Dispatch dispatch) {
+        if (openAttempts.containsKey(dispatch.attemptId())) {
+            simulation.server(dispatch.server()).cancel(dispatch.attemptId());
             end(dispatch.attemptId(), unknown());
         }
     }
 
     private void cancel(CancelOnServer cancel) {
-        world.time().after(TO_SERVER, () -> world.server(cancel.server()).cancel(cancel.attemptId()));
-        world.time().after(CANCEL_LIMIT, () -> end(cancel.attemptId(), unknown()));
+        simulation
+                .time()
+                .after(
+                        SERVER_DELAY_NANOS,
+                        () -> simulation.server(cancel.server()).cancel(cancel.attemptId()));
+        simulation.time().after(CANCEL_TIMEOUT_NANOS, () -> end(cancel.attemptId(), unknown()));
     }
 
     private static Answer unknown() {
@@ -162,15 +170,15 @@
     private void end(String attemptId, Answer answer) {
         Optional<Long> paused = pausedUntil();
         if (paused.isPresent()) {
-            world.time().at(paused.get(), () -> end(attemptId, answer));
+            simulation.time().at(paused.get(), () -> end(attemptId, answer));
             return;
         }
-        if (!open.containsKey(attemptId) || serverByTry.remove(attemptId) == null) {
+        if (!openAttempts.containsKey(attemptId) || serverByAttempt.remove(attemptId) == null) {
             return;
         }
         answer.error()
                 .filter(error -> error == ErrorKind.SERVER_REFUSED)
-                .ifPresent(error -> world.recorder().recordShed());
+                .ifPresent(error -> simulation.recorder().recordShed());
         deliver(new AttemptEnded(attemptId, answer.status(), answer.error(), answer.state()));
         reply(attemptId, replyTo(answer));
     }
@@ -184,29 +192,35 @@
     }
 
     private void reply(String attemptId, Reply reply) {
-        Attempt attempt = open.remove(attemptId);
-        GroupStatus status = decisions.status(world.time().now());
-        world.reply(index, attempt, reply, status);
+        Attempt attempt = openAttempts.remove(attemptId);
+        GroupStatus status = decisions.status(simulation.time().now());
+        simulation.reply(index, attempt, reply, status);
     }
 
-    private void askFloor(String server) {
-        long now = world.time().now();
-        boolean granted = world.floor().request(server, now);
-        GroupEvent verdict =
-                granted ? new EjectionGranted(server, now + FloorCounter.RIGHT) : new EjectionRefused(server);
-        world.time().after(TO_GRANTER, () -> deliver(verdict));
+    private void requestGrant(String server) {
+        long now = simulation.time().now();
+        boolean granted = simulation.floor().request(server, now);
+        GroupEvent result =
+                granted ? new EjectionGranted(server, now + FloorCounter.GRANT_NANOS) : new EjectionRefused(server);
+        simulation.time().after(PEER_DELAY_NANOS, () -> deliver(result));
     }
 
     private void probe(String server) {
-        boolean cut = world.plan().isCut(server, world.time().now());
+        boolean cut = simulation.plan().isCut(server, simulation.time().now());
         Optional<ServerState> state = cut
                 ? Optional.empty()
-                : Optional.of(world.plan().reportedState(server, world.time().now()));
-        world.time().after(cut ? PROBE_LIMIT : PROBE, () -> deliver(new ProbeEnded(server, state)));
-    }
-
-    /** Takes in the usual times of another host. */
-    void receiveServiceTimes(ServiceTimesReceived heard) {
-        deliver(heard);
+                : Optional.of(simulation
+                        .plan()
+                        .reportedState(server, simulation.time().now()));
+        simulation
+                .time()
+                .after(
+                        cut ? PROBE_TIMEOUT_NANOS : PROBE_ROUND_TRIP_NANOS,
+                        () -> deliver(new ProbeEnded(server, state)));
+    }
+
+    /** Receives the typical service times of another host. */
+    void receiveServiceTimes(ServiceTimesReceived serviceTimes) {
+        deliver(serviceTimes);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/JsonLinesPrinter.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/JsonLinesPrinter.java
@@ -6,7 +6,7 @@
 import java.io.PrintStream;
 import java.util.List;
 
-/** Prints measurements as JSON lines. */
+/** Prints results as JSON lines. */
 final class JsonLinesPrinter implements RowPrinter {
     private final ObjectMapper mapper = new ObjectMapper();
     private final PrintStream out;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/KindProfile.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/KindProfile.java
@@ -3,12 +3,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A request kind of a fake service. Service times are log-normal.
+ * A request kind of a simulated service. Service times have a log-normal distribution.
  *
  * @param name the name of the route
- * @param idempotent whether it may be repeated
- * @param weight its weight
- * @param share its share of the arrivals
+ * @param idempotent whether requests of this kind may be repeated
+ * @param weight the weight of a request
+ * @param share the share of the arrivals that are of this kind
  * @param medianNanos the median service time
  * @param deadlineNanos the time from arrival to the deadline
  */
@@ -16,7 +16,7 @@
     /** The standard deviation of the logarithm of service times. */
     private static final double LOG_DEVIATION = 0.5;
 
-    /** Returns a kind; times in milliseconds. */
+    /** Returns a request kind; {@code median} and {@code deadline} are in milliseconds. */
     static KindProfile of(String name, boolean idempotent, int weight, double share, long median, long deadline) {
         return new KindProfile(name, idempotent, weight, share, median * Units.MILLIS, deadline * Units.MILLIS);
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Layout.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Layout.java
@@ -1,6 +1,6 @@
 package io.coppershelf.bench.decisions;
 
-/** Who decides about which servers. */
+/** Which VMs make the decisions for which servers. */
 enum Layout {
     /** One owner for the servers of the service in one data centre. */
     OWNER_PER_GROUP,
@@ -8,8 +8,8 @@
     OWNER_PER_SERVER,
     /** One owner for all servers of the service. */
     OWNER_PER_SERVICE,
-    /** Owners lend slots to entry VMs. */
+    /** Owners lease slots to entry VMs. */
     LEASES,
-    /** Each entry VM alone, over all servers of the service. */
+    /** Each entry VM for itself, over all servers of the service. */
     EACH_VM_ALONE
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
@@ -9,8 +9,9 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** The owner of a group that lends its slots, to the earliest deadline first. */
+/** The owner of a server group that leases its slots to entry VMs, earliest deadline first. */
 final class LeaseBroker {
+    /** Largest share of the remaining time that a request may spend waiting for a lease. */
     private static final double WAIT_SHARE = 0.75;
 
     private final Deque<Lease> free = new ArrayDeque<>();
@@ -18,7 +19,7 @@
             new PriorityQueue<>(Comparator.comparingLong(BenchRequest::deadlineNanos));
     private final double nanosPerRequest;
 
-    /** A lease for a request. */
+    /** A lease and the request for which it is granted. */
     record Grant(Lease lease, BenchRequest request) {}
 
     LeaseBroker(List<ServerSpec> servers, ServiceProfile service) {
@@ -28,10 +29,10 @@
         this.nanosPerRequest = service.meanNanos() / free.size();
     }
 
-    /** Takes a request for a lease; returns false if it could not be met in time. */
+    /** Queues a request for a lease; returns false if the expected wait is too long for its deadline. */
     boolean request(BenchRequest request, long nowNanos) {
-        double allowed = WAIT_SHARE * (double) (request.deadlineNanos() - nowNanos);
-        if (free.isEmpty() && waiting.size() * nanosPerRequest > allowed) {
+        double maxWaitNanos = WAIT_SHARE * (double) (request.deadlineNanos() - nowNanos);
+        if (free.isEmpty() && waiting.size() * nanosPerRequest > maxWaitNanos) {
             return false;
         }
         waiting.add(request);
@@ -50,17 +51,20 @@
         return grants;
     }
 
-    /** Takes a lease back. */
+    /** Returns a lease to the free ones. */
     void release(Lease lease) {
         free.addLast(lease);
     }
 
-    /** Returns whether others wait for a lease; told to entry VMs with the answers. */
+    /**
+     * Returns whether requests wait for a lease. Entry VMs receive this with the answers and then return leases at
+     * once.
+     */
     boolean isContended() {
         return !waiting.isEmpty();
     }
 
-    /** Returns how busy the group is. */
+    /** Returns the number of waiting requests less the number of free leases. */
     int backlog() {
         return waiting.size() - free.size();
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseSimulation.java
@@ -12,16 +12,17 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-/** The way by leases: owners lend slots to entry VMs, which send to the servers themselves. */
+/** Simulates one service with leases: owners lease slots to entry VMs, which send to the servers directly. */
 final class LeaseSimulation {
-    /** How long an entry VM keeps an idle lease that nobody else waits for. */
-    private static final long LINGER = 20 * Units.MILLIS;
+    /** Time for which an entry VM keeps an idle lease if no other request waits for it. */
+    private static final long IDLE_LEASE_NANOS = 20 * Units.MILLIS;
 
-    private static final long DRAIN_OUT = 15 * Units.SECONDS;
+    /** Time after the last arrival in which the remaining requests end. */
+    private static final long DRAIN_NANOS = 15 * Units.SECONDS;
 
     private final RunSpec spec;
     private final VirtualTime time = new VirtualTime();
-    private final RunRecorder ledger;
+    private final RunRecorder recorder;
     private final Map<String, FakeServer> servers = new TreeMap<>();
     private final List<LeaseBroker> brokers = new ArrayList<>();
     private final List<Deque<Lease>> idleByVm = new ArrayList<>();
@@ -32,7 +33,7 @@
     private LeaseSimulation(RunSpec spec) {
         this.spec = spec;
         FaultPlan plan = new FaultPlan(spec.fault(), spec.service(), spec.endNanos(), spec.random(Stream.PLAN));
-        this.ledger = new RunRecorder(spec, plan);
+        this.recorder = new RunRecorder(spec, plan);
         this.arrivals = spec.random(Stream.ARRIVALS);
         this.random = spec.random(Stream.ENTRIES);
         RandomGenerator serverRandom = spec.random(Stream.SERVERS);
@@ -48,16 +49,16 @@
         }
     }
 
-    /** Runs the service to its end and returns the figures. */
+    /** Runs the simulation to its end and returns the figures. */
     static RunResult run(RunSpec spec) {
-        LeaseSimulation world = new LeaseSimulation(spec);
-        world.time.after(world.nextGap(), world::arrive);
-        world.time.runUntil(spec.endNanos() + DRAIN_OUT);
-        world.requests.forEach(world.ledger::recordFinalState);
-        return world.ledger.finish();
+        LeaseSimulation simulation = new LeaseSimulation(spec);
+        simulation.time.after(simulation.nextInterarrivalNanos(), simulation::arrive);
+        simulation.time.runUntil(spec.endNanos() + DRAIN_NANOS);
+        simulation.requests.forEach(simulation.recorder::recordFinalState);
+        return simulation.recorder.finish();
     }
 
-    private long nextGap() {
+    private long nextInterarrivalNanos() {
         double rate = spec.load() * spec.service().capacityPerSecond();
         return (long) (-Math.log(1 - arrivals.nextDouble()) / rate * Units.SECONDS);
     }
@@ -70,88 +71,88 @@
         KindProfile kind = spec.service().drawKind(arrivals);
         BenchRequest request = new BenchRequest(requests.size(), vm, kind, time.now());
         requests.add(request);
-        ledger.recordArrival(request);
-        time.at(request.deadlineNanos(), () -> lose(request));
+        recorder.recordArrival(request);
+        time.at(request.deadlineNanos(), () -> recordLossIfUnanswered(request));
         Deque<Lease> idle = idleByVm.get(vm);
         if (idle.isEmpty()) {
-            hop(() -> ask(choose(), request));
+            sendMessage(() -> requestLease(selectBroker(), request));
         } else {
-            use(idle.removeFirst(), request);
+            dispatch(idle.removeFirst(), request);
         }
-        time.after(nextGap(), this::arrive);
+        time.after(nextInterarrivalNanos(), this::arrive);
     }
 
-    private void hop(Runnable task) {
-        ledger.recordMessage(time.now());
-        time.after(spec.service().customer().oneWayNanos(), task);
+    private void sendMessage(Runnable onArrival) {
+        recorder.recordMessage(time.now());
+        time.after(spec.service().customer().oneWayNanos(), onArrival);
     }
 
-    private LeaseBroker choose() {
+    private LeaseBroker selectBroker() {
         LeaseBroker first = brokers.get(random.nextInt(brokers.size()));
         LeaseBroker second = brokers.get(random.nextInt(brokers.size()));
         return second.backlog() < first.backlog() ? second : first;
     }
 
-    private void ask(LeaseBroker broker, BenchRequest request) {
+    private void requestLease(LeaseBroker broker, BenchRequest request) {
         if (broker.request(request, time.now())) {
             grant(broker);
         } else {
-            hop(() -> refuse(request));
+            sendMessage(() -> refuse(request));
         }
     }
 
     private void grant(LeaseBroker broker) {
-        broker.grants(time.now()).forEach(grant -> hop(() -> use(grant.lease(), grant.request())));
+        broker.grants(time.now()).forEach(grant -> sendMessage(() -> dispatch(grant.lease(), grant.request())));
     }
 
     private void refuse(BenchRequest request) {
         if (request.markAnswered()) {
-            ledger.recordRefusal(request, time.now());
+            recorder.recordRefusal(request, time.now());
         }
     }
 
-    private void use(Lease lease, BenchRequest request) {
+    private void dispatch(Lease lease, BenchRequest request) {
         if (request.isAnswered()) {
-            giveBack(lease);
+            returnLease(lease);
             return;
         }
         Attempt attempt = new Attempt(request.nextAttemptId(), request);
-        servers.get(lease.server()).start(attempt, answer -> answered(lease, request, answer));
+        servers.get(lease.server()).start(attempt, answer -> receiveAnswer(lease, request, answer));
     }
 
-    private void answered(Lease lease, BenchRequest request, Answer answer) {
+    private void receiveAnswer(Lease lease, BenchRequest request, Answer answer) {
         if (request.markAnswered()) {
             boolean success = answer.status().filter(status -> status == 200).isPresent();
-            ledger.recordAnswer(request, success, time.now());
+            recorder.recordAnswer(request, success, time.now());
         }
         if (lease.broker().isContended()) {
-            giveBack(lease);
+            returnLease(lease);
             return;
         }
         idleByVm.get(request.vm()).addLast(lease);
-        time.after(LINGER, () -> endLinger(request.vm(), lease));
+        time.after(IDLE_LEASE_NANOS, () -> returnIfIdle(request.vm(), lease));
     }
 
-    private void endLinger(int vm, Lease lease) {
+    private void returnIfIdle(int vm, Lease lease) {
         if (idleByVm.get(vm).remove(lease)) {
-            giveBack(lease);
+            returnLease(lease);
         }
     }
 
-    private void giveBack(Lease lease) {
-        hop(() -> {
+    private void returnLease(Lease lease) {
+        sendMessage(() -> {
             lease.broker().release(lease);
             grant(lease.broker());
         });
     }
 
-    private void lose(BenchRequest request) {
+    private void recordLossIfUnanswered(BenchRequest request) {
         if (request.markAnswered()) {
-            ledger.recordLoss(request);
+            recorder.recordLoss(request);
         }
     }
 
-    /** The right to use one slot. */
+    /** The right to use one slot of a server. */
     static final class Lease {
         private final String server;
         private final LeaseBroker broker;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Policy.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Policy.java
@@ -14,7 +14,7 @@
 import io.coppershelf.health.HealthPolicy;
 import java.util.random.RandomGenerator;
 
-/** The decisions that are measured: ours and the baselines. */
+/** The measured policies: those of coppershelf and the baselines. */
 enum Policy {
     COPPERSHELF("coppershelf", Layout.OWNER_PER_GROUP),
     UNEQUAL("coppershelf, shorter limits after an ejection", Layout.OWNER_PER_GROUP),
@@ -26,7 +26,8 @@
     ROUND_ROBIN("round robin", Layout.EACH_VM_ALONE),
     TWO_CHOICES("two choices on reported load", Layout.EACH_VM_ALONE);
 
-    private static final double SHORTER_LIMITS = 0.6;
+    /** Factor on the limits of servers that were ejected not long ago. */
+    private static final double HISTORY_FACTOR = 0.6;
 
     private final String title;
     private final Layout layout;
@@ -44,7 +45,7 @@
         return layout;
     }
 
-    /** Returns the decisions of one host. */
+    /** Creates the decisions of one host. */
     ServerGroupDecisions create(GroupName name, LoadReports reports, RandomGenerator random) {
         return switch (this) {
             case COPPERSHELF, OWNER_PER_SERVER, LEASES -> ServerGroup.create(name, random);
@@ -53,7 +54,7 @@
                         name,
                         random,
                         service -> HealthPolicy.forDetectionWeight(service.detectionWeight())
-                                .withHistoryFactor(SHORTER_LIMITS));
+                                .withHistoryFactor(HISTORY_FACTOR));
             case PROBES -> BaselineGroup.exact(new ProbesOnly());
             case FIVE_ERRORS -> BaselineGroup.exact(new ConsecutiveErrors());
             case OUTLIERS -> BaselineGroup.exact(new SuccessRateOutliers());
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Reply.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Reply.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * What an owner tells an entry VM of a try.
+ * An owner's reply to an entry VM about an attempt.
  *
  * @param status the HTTP status of an answer
- * @param isNotRun whether the try was not run, if there is no answer
+ * @param isNotRun whether the attempt is known not to have run, if there is no answer
  */
 record Reply(Optional<Integer> status, boolean isNotRun) {
     private static final int SERVER_ERROR = 500;
@@ -23,7 +23,7 @@
         return new Reply(Optional.empty(), false);
     }
 
-    /** Returns whether there is a good answer. */
+    /** Returns whether there is an answer that is no server error. */
     boolean isSuccess() {
         return status.isPresent() && status.get() < SERVER_ERROR;
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/RowPrinter.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/RowPrinter.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Prints measurements. */
+/** Prints results. */
 interface RowPrinter {
-    /** Prints a table. */
+    /** Prints the rows of one experiment. */
     void print(String title, List<Row> rows);
 
-    /** Prints which targets are met. */
+    /** Prints the targets with the measured figures and whether they are met. */
     void printTargets(List<Target> targets);
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/RunRecorder.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/RunRecorder.java
@@ -11,31 +11,31 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Keeps the truth of a run and works out its figures. */
+/** Records the events of a run and computes its figures. */
 final class RunRecorder {
-    /** An ejection so soon after a sickness is no false one. */
-    private static final long LOOK_BACK = 3 * Units.SECONDS;
+    /** An ejection within this time after the server was unhealthy isn't counted as false. */
+    private static final long LOOK_BACK_NANOS = 3 * Units.SECONDS;
 
     private final RunSpec spec;
     private final FaultPlan plan;
     private final RunResult result = new RunResult();
-    private final Map<UnhealthySpan, Long> lastDispatch = new HashMap<>();
+    private final Map<UnhealthySpan, Long> lastDispatchNanos = new HashMap<>();
     private final Map<String, Double> offeredWork = new HashMap<>();
     private final Set<String> ejected = new HashSet<>();
-    private final Set<String> otherwiseOut = new HashSet<>();
+    private final Set<String> drainingOrCold = new HashSet<>();
 
     RunRecorder(RunSpec spec, FaultPlan plan) {
         this.spec = spec;
         this.plan = plan;
-        plan.unhealthySpans().forEach(span -> lastDispatch.put(span, span.fromNanos()));
-        noteCapacity();
+        plan.unhealthySpans().forEach(span -> lastDispatchNanos.put(span, span.fromNanos()));
+        updateLowestAboveFloor();
     }
 
     private boolean isMeasured(long nanos) {
-        return nanos >= FaultPlan.ONSET && nanos <= spec.endNanos();
+        return nanos >= FaultPlan.ONSET_NANOS && nanos <= spec.endNanos();
     }
 
-    /** Takes in a new request. */
+    /** Records a new request. */
     void recordArrival(BenchRequest request) {
         if (isMeasured(request.arrivedNanos())) {
             result.requests++;
@@ -44,19 +44,19 @@
         }
     }
 
-    /** Takes in a dispatch to a server in the given condition. */
+    /** Records a dispatch to a server in the given condition; dispatches in probation don't delay the detection. */
     void recordDispatch(String server, ServerCondition condition, long nowNanos) {
         if (condition == ServerCondition.PROBATION) {
             return;
         }
         for (UnhealthySpan span : plan.unhealthySpans()) {
             if (span.server().equals(server) && nowNanos >= span.fromNanos() && nowNanos < span.untilNanos()) {
-                lastDispatch.put(span, nowNanos);
+                lastDispatchNanos.put(span, nowNanos);
             }
         }
     }
 
-    /** Takes in a whole answer to the caller. */
+    /** Records a complete answer to the caller. */
     void recordAnswer(BenchRequest request, boolean success, long nowNanos) {
         if (request.runs() == 0) {
             result.wrongOutcome++;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Takes in that the caller was told that the request was not run. */
+    /** Records an answer to the caller that the request was not run. */
     void recordRefusal(BenchRequest request, long nowNanos) {
         if (request.runs() > 0) {
             result.wrongOutcome++;
@@ -89,40 +89,41 @@
         }
     }
 
-    /** Takes in that the caller was told that the outcome is unknown. */
+    /** Records an answer to the caller that the outcome is unknown, or that there was none before the deadline. */
     void recordLoss(BenchRequest request) {
         if (isMeasured(request.arrivedNanos())) {
             result.lost++;
         }
     }
 
-    /** Takes in that a server refused a try because its slots were taken. */
+    /** Records that a server refused an attempt. */
     void recordShed() {
         result.shed++;
     }
 
-    /** Takes in a message between two VMs. */
+    /** Records a message between two VMs. */
     void recordMessage(long nowNanos) {
         result.messages += isMeasured(nowNanos) ? 1 : 0;
     }
 
-    /** Takes in the whole life of a request, after the run. */
+    /** Records the final state of a request, after the run. */
     void recordFinalState(BenchRequest request) {
         if (!request.kind().idempotent() && request.runs() > 1) {
             result.executedTwice++;
         }
     }
 
-    /** Takes in a change of condition. */
+    /** Records a change of a server's condition. */
     void recordConditionChange(String server, ServerCondition to, long nowNanos) {
-        boolean out = to == ServerCondition.EJECTED || to == ServerCondition.PROBATION;
+        boolean ejectedOrInProbation = to == ServerCondition.EJECTED || to == ServerCondition.PROBATION;
         if (to == ServerCondition.EJECTED && !ejected.contains(server)) {
-            boolean sick = plan.fault() != Fault.CUT && plan.wasRecentlyUnhealthy(server, nowNanos, LOOK_BACK);
-            result.falseEjections += sick ? 0 : 1;
+            boolean unhealthy =
+                    plan.fault() != Fault.CUT && plan.wasRecentlyUnhealthy(server, nowNanos, LOOK_BACK_NANOS);
+            result.falseEjections += unhealthy ? 0 : 1;
         }
-        update(ejected, server, out);
-        update(otherwiseOut, server, to == ServerCondition.DRAINING || to == ServerCondition.COLD);
-        noteCapacity();
+        update(ejected, server, ejectedOrInProbation);
+        update(drainingOrCold, server, to == ServerCondition.DRAINING || to == ServerCondition.COLD);
+        updateLowestAboveFloor();
     }
 
     private static void update(Set<String> set, String server, boolean isIn) {
@@ -133,10 +134,10 @@
         }
     }
 
-    private void noteCapacity() {
+    private void updateLowestAboveFloor() {
         int above = spec.service().servers()
                 - ejected.size()
-                - otherwiseOut.size()
+                - drainingOrCold.size()
                 - spec.service().floor();
         if (!ejected.isEmpty() || result.lowestAboveFloor == Integer.MAX_VALUE) {
             result.lowestAboveFloor = Math.min(result.lowestAboveFloor, above);
@@ -145,21 +146,22 @@
 
     /** Returns the figures of the run. */
     RunResult finish() {
-        lastDispatch.forEach((span, nanos) -> result.detectionSeconds.add(Units.seconds(nanos - span.fromNanos())));
+        lastDispatchNanos.forEach(
+                (span, nanos) -> result.detectionSeconds.add(Units.seconds(nanos - span.fromNanos())));
         result.serverHours = spec.service().servers() * Units.seconds(spec.endNanos()) / 3600;
         result.workPossible = possibleWork();
         return result;
     }
 
     private double possibleWork() {
-        double left = healthySlotNanos();
+        double remaining = healthySlotNanos();
         double possible = 0;
         List<KindProfile> kinds = new ArrayList<>(spec.service().kinds());
         kinds.sort(Comparator.comparingInt(KindProfile::weight).reversed());
         for (KindProfile kind : kinds) {
-            double work = Math.min(left, offeredWork.getOrDefault(kind.name(), 0.0));
+            double work = Math.min(remaining, offeredWork.getOrDefault(kind.name(), 0.0));
             possible += work * kind.weight();
-            left -= work;
+            remaining -= work;
         }
         return possible;
     }
@@ -167,14 +169,14 @@
     private long idleNanos(ServerSpec server) {
         boolean idle = server.dataCentre()
                 .equals(spec.service().customer().dataCentres().get(0));
-        return plan.fault() == Fault.PAUSE && idle ? FaultPlan.PAUSE : 0;
+        return plan.fault() == Fault.PAUSE && idle ? FaultPlan.PAUSE_NANOS : 0;
     }
 
     private double healthySlotNanos() {
         double nanos = 0;
         for (ServerSpec server : spec.service().serverSpecs()) {
             if (!plan.targets().contains(server.name())) {
-                nanos += server.slots() * (double) (spec.endNanos() - FaultPlan.ONSET - idleNanos(server));
+                nanos += server.slots() * (double) (spec.endNanos() - FaultPlan.ONSET_NANOS - idleNanos(server));
             }
         }
         return nanos;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/RunResult.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/RunResult.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one run, or several together, gave. */
+/** The figures of one run, or the sums over several runs. */
 final class RunResult {
     final List<Double> detectionSeconds = new ArrayList<>();
     final List<Double> latencyMillis = new ArrayList<>();
@@ -51,7 +51,7 @@
         return weightInTime / weightOffered;
     }
 
-    /** Returns the weighted work done in time against the best that the healthy servers can do. */
+    /** Returns the weighted work done in time, relative to the maximum that the healthy servers can do. */
     double shareCarried() {
         return workInTime / workPossible;
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/RunSpec.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/RunSpec.java
@@ -8,13 +8,13 @@
  *
  * @param service the service
  * @param fault the fault
- * @param load the load as a share of what the slots can carry
- * @param policy the decisions
- * @param seed the seed; runs of other policies with the same seed see the same arrivals
- * @param endNanos when arrivals end
+ * @param load the load as a share of the capacity of the slots
+ * @param policy the measured policy
+ * @param seed the seed; runs of different policies with the same seed have the same arrivals
+ * @param endNanos the time at which arrivals end
  */
 record RunSpec(ServiceProfile service, Fault fault, double load, Policy policy, int seed, long endNanos) {
-    /** What a source of random numbers is for. */
+    /** The uses of random numbers. Each has a source of its own, seeded with the name of the constant. */
     enum Stream {
         PLAN,
         ARRIVALS,
@@ -23,13 +23,13 @@
         DECISIONS
     }
 
-    /** Returns a source of random numbers, the same in every run of the same seed, service and fault. */
+    /** Returns a source of random numbers that is the same in every run with the same seed, service and fault. */
     RandomGenerator random(Stream stream) {
         long mixed = seed;
-        for (int part : new int[] {
+        for (int hash : new int[] {
             service.name().hashCode(), fault.name().hashCode(), stream.name().hashCode()
         }) {
-            mixed = mixed * 1_000_003 + part;
+            mixed = mixed * 1_000_003 + hash;
         }
         return new SplittableRandom(mixed);
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/ServiceProfile.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/ServiceProfile.java
@@ -7,22 +7,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A service of a customer at its size.
+ * A simulated service of a customer.
  *
  * @param customer the customer
- * @param name the service
+ * @param name the name of the service
  * @param servers the number of its servers, spread evenly over the data centres
- * @param slots the slots of each server
- * @param floor the least number of servers in service
- * @param kinds its request kinds
+ * @param slots the number of slots of each server
+ * @param floor the minimum number of servers in service
+ * @param kinds the request kinds
  */
 record ServiceProfile(Customer customer, String name, int servers, int slots, int floor, List<KindProfile> kinds) {
-    /** Returns the configured service. */
+    /** Returns the configuration of the service. */
     ServiceSpec spec() {
         return new ServiceSpec(name, floor, customer.detectionWeight());
     }
 
-    /** Returns the configured servers. */
+    /** Returns the configurations of the servers. */
     List<ServerSpec> serverSpecs() {
         List<ServerSpec> specs = new ArrayList<>();
         for (int index = 0; index < servers; index++) {
@@ -40,17 +40,17 @@
                 .sum();
     }
 
-    /** Returns the requests per second that the slots of the servers can carry. */
+    /** Returns the capacity of the slots of all servers in requests per second. */
     double capacityPerSecond() {
         return (double) servers * slots * Units.SECONDS / meanNanos();
     }
 
-    /** Returns a random kind, by the shares. */
+    /** Returns a random request kind, with probabilities by the shares. */
     KindProfile drawKind(RandomGenerator random) {
-        double left = random.nextDouble();
+        double remaining = random.nextDouble();
         for (KindProfile kind : kinds) {
-            left -= kind.share();
-            if (left < 0) {
+            remaining -= kind.share();
+            if (remaining < 0) {
                 return kind;
             }
         }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/ServiceSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/ServiceSimulation.java
@@ -16,46 +16,50 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-/** One service in virtual time: its servers, the hosts that decide for them, and the entry VMs. */
+/**
+ * Simulates one service in virtual time: its servers, the hosts that make the decisions for them, and the entry VMs.
+ */
 final class ServiceSimulation {
-    private static final long REPORT_INTERVAL = Units.SECONDS;
-    private static final long DRAIN_OUT = 15 * Units.SECONDS;
+    private static final long REPORT_INTERVAL_NANOS = Units.SECONDS;
+
+    /** Time after the last arrival in which the remaining requests end. */
+    private static final long DRAIN_NANOS = 15 * Units.SECONDS;
 
     private final RunSpec spec;
     private final VirtualTime time = new VirtualTime();
     private final FaultPlan plan;
-    private final RunRecorder ledger;
+    private final RunRecorder recorder;
     private final FloorCounter floor;
     private final Map<String, FakeServer> servers = new TreeMap<>();
     private final Map<String, Integer> reportedLoads = new TreeMap<>();
     private final List<GroupHost> hosts = new ArrayList<>();
-    private final EntryVms entries;
+    private final EntryVms entryVms;
 
     private ServiceSimulation(RunSpec spec) {
         this.spec = spec;
         this.plan = new FaultPlan(spec.fault(), spec.service(), spec.endNanos(), spec.random(Stream.PLAN));
-        this.ledger = new RunRecorder(spec, plan);
+        this.recorder = new RunRecorder(spec, plan);
         this.floor = new FloorCounter(spec.service().servers(), spec.service().floor());
         RandomGenerator serverRandom = spec.random(Stream.SERVERS);
         for (ServerSpec server : spec.service().serverSpecs()) {
             servers.put(server.name(), new FakeServer(server.name(), server.slots(), plan, time, serverRandom));
             reportedLoads.put(server.name(), 0);
         }
-        this.entries = new EntryVms(this);
+        this.entryVms = new EntryVms(this);
     }
 
-    /** Runs the service to its end and returns the figures. */
+    /** Runs the simulation to its end and returns the figures. */
     static RunResult run(RunSpec spec) {
         if (spec.policy().layout() == Layout.LEASES) {
             return LeaseSimulation.run(spec);
         }
-        ServiceSimulation world = new ServiceSimulation(spec);
-        world.startHosts();
-        world.reportLoads();
-        world.entries.start();
-        world.time.runUntil(spec.endNanos() + DRAIN_OUT);
-        world.entries.finish();
-        return world.ledger.finish();
+        ServiceSimulation simulation = new ServiceSimulation(spec);
+        simulation.startHosts();
+        simulation.reportLoads();
+        simulation.entryVms.start();
+        simulation.time.runUntil(spec.endNanos() + DRAIN_NANOS);
+        simulation.entryVms.recordFinalStates();
+        return simulation.recorder.finish();
     }
 
     private void startHosts() {
@@ -89,7 +93,7 @@
 
     private void reportLoads() {
         servers.forEach((name, server) -> reportedLoads.put(name, reportedLoad(name, server)));
-        time.after(REPORT_INTERVAL, this::reportLoads);
+        time.after(REPORT_INTERVAL_NANOS, this::reportLoads);
     }
 
     private int reportedLoad(String name, FakeServer server) {
@@ -100,34 +104,34 @@
         return first ? 0 : server.slots();
     }
 
-    /** Tells the usual times of one host to the others. */
-    void shareBaseline(int sender, ServiceTimesReceived heard) {
+    /** Sends the typical service times of one host to the others. */
+    void shareServiceTimes(int sender, ServiceTimesReceived serviceTimes) {
         for (int index = 0; index < hosts.size(); index++) {
             GroupHost host = hosts.get(index);
             if (index != sender) {
-                time.after(spec.service().customer().oneWayNanos(), () -> host.receiveServiceTimes(heard));
+                time.after(spec.service().customer().oneWayNanos(), () -> host.receiveServiceTimes(serviceTimes));
             }
         }
     }
 
-    /** Takes in a change of condition. */
-    void conditionChanged(ConditionChanged changed) {
-        ledger.recordConditionChange(changed.server(), changed.to(), time.now());
-        floor.reportOut(
+    /** Records a change of a server's condition. */
+    void recordConditionChange(ConditionChanged changed) {
+        recorder.recordConditionChange(changed.server(), changed.to(), time.now());
+        floor.reportOutOfService(
                 changed.server(), changed.to() == ServerCondition.DRAINING || changed.to() == ServerCondition.COLD);
     }
 
-    /** Brings a reply to the entry VM. */
+    /** Sends a host's reply to the entry VM. */
     void reply(int host, Attempt attempt, Reply reply, GroupStatus status) {
-        time.after(networkDelayNanos(), () -> entries.handleReply(host, attempt, reply, status));
+        time.after(networkDelayNanos(), () -> entryVms.handleReply(host, attempt, reply, status));
     }
 
-    /** Returns the time between an entry VM and a host. */
+    /** Returns the one-way delay between an entry VM and a host, and counts a message unless they are the same VM. */
     long networkDelayNanos() {
         if (spec.policy().layout() == Layout.EACH_VM_ALONE) {
             return 0;
         }
-        ledger.recordMessage(time.now());
+        recorder.recordMessage(time.now());
         return spec.service().customer().oneWayNanos();
     }
 
@@ -144,7 +148,7 @@
     }
 
     RunRecorder recorder() {
-        return ledger;
+        return recorder;
     }
 
     FloorCounter floor() {
--- a/bench/src/main/java/io/coppershelf/bench/decisions/TablePrinter.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/TablePrinter.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Prints measurements as Markdown tables. */
+/** Prints results as Markdown tables. */
 final class TablePrinter implements RowPrinter {
     private final PrintStream out;
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Target.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Target.java
@@ -1,11 +1,11 @@
 package io.coppershelf.bench.decisions;
 
 /**
- * A target that the users set, and what was measured.
+ * A target of the users, with the measured figure.
  *
- * @param name what is asked
- * @param bound the bound
- * @param measured the worst figure
+ * @param name the name of the target
+ * @param bound the bound, with its comparison operator
+ * @param measured the worst measured figure
  * @param isMet whether the figure is within the bound
  */
 record Target(String name, String bound, String measured, boolean isMet) {}
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Targets.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Targets.java
@@ -9,12 +9,16 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 
-/** Holds the figures against the targets. */
+/** Checks the measured figures against the targets. */
 final class Targets {
-    private static final Set<Fault> QUIET = Set.of(Fault.NONE, Fault.PAUSE, Fault.COLD, Fault.DRAIN, Fault.SHEDDING);
+    /** Faults in which no server is unhealthy, so that every ejection is false. */
+    private static final Set<Fault> FAULTS_WITHOUT_UNHEALTHY_SERVER =
+            Set.of(Fault.NONE, Fault.PAUSE, Fault.COLD, Fault.DRAIN, Fault.SHEDDING);
+
     private static final double LOW_LOAD = 0.4;
     private static final double OVERLOAD = 2.0;
-    private static final double MOST = 0.99;
+    private static final double MIN_CARRIED_UNDER_STALL = 0.99;
+    private static final double P99 = 0.99;
 
     private final List<Row> own;
     private final List<Row> baselines;
@@ -26,7 +30,7 @@
                 rows.stream().filter(row -> row.table().equals("baselines")).toList();
     }
 
-    /** Returns the targets with what was measured. */
+    /** Returns the targets with the measured figures. */
     static List<Target> check(List<Row> rows) {
         Targets targets = new Targets(rows);
         targets.checkSafety();
@@ -51,13 +55,13 @@
                 .mapToDouble(row -> row.result().falseEjectionsPerServerHour())
                 .findFirst()
                 .orElse(0);
-        checkTimesSooner(
+        checkSpeedup(
                 "times sooner than the best baseline of equal or fewer false ejections",
                 row -> row.result().falseEjectionsPerServerHour() <= allowed);
-        checkTimesSooner("times sooner than the soonest baseline", row -> true);
+        checkSpeedup("times sooner than the soonest baseline", row -> true);
     }
 
-    private void checkTimesSooner(String name, Predicate<Row> compared) {
+    private void checkSpeedup(String name, Predicate<Row> compared) {
         Optional<Row> best = baselines.stream()
                 .filter(Targets::isStallAtLowLoad)
                 .filter(compared)
@@ -65,14 +69,14 @@
         best.ifPresent(row -> atLeast(
                 name + " (" + row.policy().title() + ")",
                 Targets::isStallAtLowLoad,
-                mine -> detection(row, 0.5) / Math.max(detection(mine, 0.5), Double.MIN_NORMAL),
+                ownRow -> detection(row, 0.5) / Math.max(detection(ownRow, 0.5), Double.MIN_NORMAL),
                 5));
     }
 
     private void checkFalseEjections() {
         atMost(
                 "Syrmatourgia, no fault, overload, cold start, drain, paused observer: false ejections/h",
-                row -> row.customer() == Customer.SYRMATOURGIA && QUIET.contains(row.fault()),
+                row -> row.customer() == Customer.SYRMATOURGIA && FAULTS_WITHOUT_UNHEALTHY_SERVER.contains(row.fault()),
                 row -> row.result().falseEjectionsPerServerHour(),
                 0);
     }
@@ -84,7 +88,7 @@
                         String.format(Locale.ROOT, "one stalled, %s, %.0f%%: carried", customer.title(), load * 100),
                         row -> row.customer() == customer && row.fault() == Fault.STALL && row.load() == load,
                         row -> row.result().shareCarried(),
-                        MOST);
+                        MIN_CARRIED_UNDER_STALL);
             }
             atLeast(
                     "200% load, no fault, " + customer.title() + ": carried",
@@ -94,7 +98,7 @@
             atMost(
                     "200% load, no fault, " + customer.title() + ": p99 of refusals ms",
                     row -> row.customer() == customer && row.fault() == Fault.NONE && row.load() == OVERLOAD,
-                    row -> RunResult.quantile(row.result().refusalMillis, MOST),
+                    row -> RunResult.quantile(row.result().refusalMillis, P99),
                     50);
             atMost(
                     "200% load, no fault, " + customer.title() + ": slowest refusal ms",
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Units.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Units.java
@@ -1,6 +1,6 @@
 package io.coppershelf.bench.decisions;
 
-/** Nanoseconds of the units that the bench uses. */
+/** The time units of the simulation in nanoseconds. */
 final class Units {
     static final long MICROS = 1_000;
     static final long MILLIS = 1_000 * MICROS;
@@ -8,7 +8,7 @@
 
     private Units() {}
 
-    /** Returns the nanoseconds as seconds. */
+    /** Converts nanoseconds to seconds. */
     static double seconds(long nanos) {
         return (double) nanos / SECONDS;
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/VirtualTime.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** An event queue in virtual time; events of equal times run in the order in which they were set. */
+/** An event queue in virtual time; events of the same time run in the order in which they were scheduled. */
 final class VirtualTime {
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::sequence));
@@ -15,17 +15,17 @@
         return nowNanos;
     }
 
-    /** Runs the task at the given time, at once if that has passed. */
+    /** Schedules the task for the given time, or for now if that time has passed. */
     void at(long nanos, Runnable task) {
         events.add(new Event(Math.max(nanos, nowNanos), sequence++, task));
     }
 
-    /** Runs the task after the given time. */
+    /** Schedules the task after the given delay. */
     void after(long nanos, Runnable task) {
         at(nowNanos + nanos, task);
     }
 
-    /** Runs all events up to the given time. */
+    /** Runs all events that are due up to the given time, inclusive. */
     void runUntil(long endNanos) {
         while (!events.isEmpty() && events.peek().atNanos() <= endNanos) {
             Event event = events.remove();
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
@@ -29,34 +29,34 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A server group without estimates: a queue in order of arrival, a picker and a detector. */
+/** A server group without health estimates: a first-in, first-out queue, a picker and a detector. */
 public final class BaselineGroup implements ServerGroupDecisions {
     private static final long PROBE_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
     private static final int SERVER_ERROR = 500;
 
     private final Picker picker;
     private final Detector detector;
-    private final boolean countsSlots;
+    private final boolean enforcesSlots;
     private final Deque<RequestArrived> queue = new ArrayDeque<>();
     private final Map<String, ServerSpec> servers = new TreeMap<>();
-    private final Map<String, String> serverByTry = new HashMap<>();
+    private final Map<String, String> serverByAttempt = new HashMap<>();
     private final Map<String, Integer> inFlight = new HashMap<>();
     private final Set<String> draining = new HashSet<>();
     private Set<String> ejected = Set.of();
-    private long probedNanos;
+    private long lastProbeNanos;
 
-    private BaselineGroup(Picker picker, Detector detector, boolean countsSlots) {
+    private BaselineGroup(Picker picker, Detector detector, boolean enforcesSlots) {
         this.picker = picker;
         this.detector = detector;
-        this.countsSlots = countsSlots;
+        this.enforcesSlots = enforcesSlots;
     }
 
-    /** Returns a group whose owner counts slots exactly and picks the least loaded server. */
+    /** Returns a group whose owner enforces the slots of its servers and picks the least loaded server. */
     public static BaselineGroup exact(Detector detector) {
         return new BaselineGroup(new LeastLoaded(), detector, true);
     }
 
-    /** Returns a group of one VM among others, which counts no slots. */
+    /** Returns a group of one VM that has figures only of its own attempts and therefore doesn't enforce slots. */
     public static BaselineGroup uncoordinated(Picker picker, Detector detector) {
         return new BaselineGroup(picker, detector, false);
     }
@@ -69,10 +69,10 @@
         } else if (event instanceof RequestArrived request) {
             queue.add(request);
         } else if (event instanceof AttemptEnded ended) {
-            end(ended, nowNanos);
+            endAttempt(ended, nowNanos);
         } else if (event instanceof ProbeEnded probe) {
-            detector.probed(probe.server(), probe.state().isPresent());
-            probe.state().ifPresent(state -> hear(probe.server(), state));
+            detector.onProbeEnded(probe.server(), probe.state().isPresent());
+            probe.state().ifPresent(state -> recordServerState(probe.server(), state));
         } else if (event instanceof Tick) {
             tick(nowNanos, actions);
         }
@@ -80,8 +80,8 @@
         return actions;
     }
 
-    private void end(AttemptEnded ended, long nowNanos) {
-        String server = serverByTry.remove(ended.attemptId());
+    private void endAttempt(AttemptEnded ended, long nowNanos) {
+        String server = serverByAttempt.remove(ended.attemptId());
         if (server == null) {
             return;
         }
@@ -89,13 +89,13 @@
         boolean refused =
                 ended.error().filter(error -> error == ErrorKind.SERVER_REFUSED).isPresent();
         boolean failed = ended.error().isPresent() || ended.status().orElse(0) >= SERVER_ERROR;
-        hear(server, ended.serverState());
+        recordServerState(server, ended.serverState());
         if (!refused) {
-            detector.ended(server, failed, nowNanos);
+            detector.onAttemptEnded(server, failed, nowNanos);
         }
     }
 
-    private void hear(String server, ServerState state) {
+    private void recordServerState(String server, ServerState state) {
         if (state == ServerState.DRAINING) {
             draining.add(server);
         } else if (state == ServerState.READY) {
@@ -104,18 +104,18 @@
     }
 
     private void tick(long nowNanos, List<GroupAction> actions) {
-        if (nowNanos - probedNanos >= PROBE_INTERVAL_NANOS) {
-            probedNanos = nowNanos;
+        if (nowNanos - lastProbeNanos >= PROBE_INTERVAL_NANOS) {
+            lastProbeNanos = nowNanos;
             servers.keySet().forEach(server -> actions.add(new Probe(server)));
         }
-        Set<String> now = detector.ejected(servers.values(), nowNanos);
+        Set<String> ejectedNow = detector.ejected(servers.values(), nowNanos);
         for (String server : servers.keySet()) {
             boolean before = ejected.contains(server);
-            if (before != now.contains(server)) {
+            if (before != ejectedNow.contains(server)) {
                 actions.add(new ConditionChanged(server, condition(before), condition(!before), "baseline"));
             }
         }
-        ejected = now;
+        ejected = ejectedNow;
     }
 
     private static ServerCondition condition(boolean isEjected) {
@@ -136,7 +136,7 @@
                 continue;
             }
             String server = picker.pick(candidates, inFlight).name();
-            serverByTry.put(first.attemptId(), server);
+            serverByAttempt.put(first.attemptId(), server);
             inFlight.merge(server, 1, Integer::sum);
             actions.add(new Dispatch(first.attemptId(), server));
         }
@@ -145,7 +145,7 @@
     private List<ServerSpec> candidates() {
         return servers.values().stream()
                 .filter(server -> !ejected.contains(server.name()) && !draining.contains(server.name()))
-                .filter(server -> !countsSlots || inFlight.getOrDefault(server.name(), 0) < server.slots())
+                .filter(server -> !enforcesSlots || inFlight.getOrDefault(server.name(), 0) < server.slots())
                 .toList();
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/ConsecutiveErrors.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/ConsecutiveErrors.java
@@ -8,27 +8,27 @@
 
 /** Ejects a server after five errors or timeouts in a row. */
 public final class ConsecutiveErrors implements Detector {
-    private static final int ERRORS = 5;
+    private static final int MAX_ERRORS = 5;
 
     private final Map<String, Integer> errors = new HashMap<>();
-    private final TimedEjections holds = new TimedEjections();
+    private final TimedEjections ejections = new TimedEjections();
 
     @Override
-    public void ended(String server, boolean failed, long nowNanos) {
+    public void onAttemptEnded(String server, boolean failed, long nowNanos) {
         errors.merge(server, failed ? 1 : 0, (old, one) -> failed ? old + one : 0);
     }
 
     @Override
-    public void probed(String server, boolean answered) {}
+    public void onProbeEnded(String server, boolean answered) {}
 
     @Override
     public Set<String> ejected(Collection<ServerSpec> servers, long nowNanos) {
         errors.forEach((server, count) -> {
-            if (count >= ERRORS) {
-                holds.eject(server, servers.size(), nowNanos);
+            if (count >= MAX_ERRORS) {
+                ejections.eject(server, servers.size(), nowNanos);
             }
         });
-        errors.values().removeIf(count -> count >= ERRORS);
-        return holds.current(nowNanos);
+        errors.values().removeIf(count -> count >= MAX_ERRORS);
+        return ejections.ejected(nowNanos);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/Detector.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/Detector.java
@@ -4,14 +4,14 @@
 import java.util.Collection;
 import java.util.Set;
 
-/** Decides which servers are ejected. */
+/** Detects unhealthy servers and ejects them. */
 public interface Detector {
-    /** Takes in how a try ended. */
-    void ended(String server, boolean failed, long nowNanos);
+    /** Records the end of an attempt. */
+    void onAttemptEnded(String server, boolean failed, long nowNanos);
 
-    /** Takes in how a probe ended. */
-    void probed(String server, boolean answered);
+    /** Records the end of a probe. */
+    void onProbeEnded(String server, boolean answered);
 
-    /** Returns the servers that are ejected now. */
+    /** Returns the servers that are ejected at the given time. */
     Set<String> ejected(Collection<ServerSpec> servers, long nowNanos);
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/LeastLoaded.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/LeastLoaded.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Picks the server with the fewest tries of this group. */
+/** Picks the server with the fewest attempts of this group in flight. */
 final class LeastLoaded implements Picker {
     @Override
     public ServerSpec pick(List<ServerSpec> candidates, Map<String, Integer> inFlight) {
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/NoDetector.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/NoDetector.java
@@ -4,13 +4,13 @@
 import java.util.Collection;
 import java.util.Set;
 
-/** Ejects nothing. */
+/** Never ejects a server. */
 public final class NoDetector implements Detector {
     @Override
-    public void ended(String server, boolean failed, long nowNanos) {}
+    public void onAttemptEnded(String server, boolean failed, long nowNanos) {}
 
     @Override
-    public void probed(String server, boolean answered) {}
+    public void onProbeEnded(String server, boolean answered) {}
 
     @Override
     public Set<String> ejected(Collection<ServerSpec> servers, long nowNanos) {
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/Picker.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/Picker.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Picks a server. */
+/** Picks the server for an attempt. */
 public interface Picker {
     /**
-     * Returns the server for the next try.
+     * Returns the server for the next attempt.
      *
-     * @param candidates the servers that may take it, at least one
-     * @param inFlight the tries that this group has on each server
+     * @param candidates the servers to which the attempt may be sent, at least one
+     * @param inFlight the number of attempts of this group in flight on each server
      */
     ServerSpec pick(List<ServerSpec> candidates, Map<String, Integer> inFlight);
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/RoundRobin.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/RoundRobin.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Picks one server after another. */
+/** Picks the servers in turn. */
 public final class RoundRobin implements Picker {
     private int next;
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/SuccessRateOutliers.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/SuccessRateOutliers.java
@@ -14,32 +14,32 @@
 public final class SuccessRateOutliers implements Detector {
     private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
     private static final double DEVIATIONS = 1.9;
-    private static final int LEAST_TRIES = 5;
+    private static final int MIN_ATTEMPTS = 5;
 
     private final Map<String, Count> counts = new HashMap<>();
-    private final TimedEjections holds = new TimedEjections();
-    private long windowNanos;
+    private final TimedEjections ejections = new TimedEjections();
+    private long windowStartNanos;
 
     @Override
-    public void ended(String server, boolean failed, long nowNanos) {
+    public void onAttemptEnded(String server, boolean failed, long nowNanos) {
         counts.computeIfAbsent(server, absent -> new Count()).add(failed);
     }
 
     @Override
-    public void probed(String server, boolean answered) {}
+    public void onProbeEnded(String server, boolean answered) {}
 
     @Override
     public Set<String> ejected(Collection<ServerSpec> servers, long nowNanos) {
-        if (nowNanos - windowNanos >= WINDOW_NANOS) {
-            windowNanos = nowNanos;
+        if (nowNanos - windowStartNanos >= WINDOW_NANOS) {
+            windowStartNanos = nowNanos;
             ejectOutliers(servers.size(), nowNanos);
             counts.clear();
         }
-        return holds.current(nowNanos);
+        return ejections.ejected(nowNanos);
     }
 
     private void ejectOutliers(int servers, long nowNanos) {
-        counts.values().removeIf(count -> count.tries < LEAST_TRIES);
+        counts.values().removeIf(count -> count.attempts < MIN_ATTEMPTS);
         double mean =
                 counts.values().stream().mapToDouble(Count::rate).average().orElse(1);
         double variance = counts.values().stream()
@@ -49,22 +49,22 @@
         double limit = mean - DEVIATIONS * Math.sqrt(variance);
         counts.forEach((server, count) -> {
             if (count.rate() < limit) {
-                holds.eject(server, servers, nowNanos);
+                ejections.eject(server, servers, nowNanos);
             }
         });
     }
 
     private static final class Count {
-        private int tries;
+        private int attempts;
         private int successes;
 
         void add(boolean failed) {
-            tries++;
+            attempts++;
             successes += failed ? 0 : 1;
         }
 
         double rate() {
-            return (double) successes / tries;
+            return (double) successes / attempts;
         }
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/TwoChoices.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/TwoChoices.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Picks the less loaded of two random servers, by reported load and the own tries in flight.
+ * Picks the less loaded of two random servers, by reported load and the VM's own attempts in flight.
  *
  * @see <a href="https://doi.org/10.1109/71.963420">Mitzenmacher, The Power of Two Choices in Randomized Load Balancing,
  *     2001</a>
@@ -15,7 +15,7 @@
     private final LoadReports reports;
     private final RandomGenerator random;
 
-    /** Returns the choice by the given reports. */
+    /** Creates a picker that compares the servers by the given load reports. */
     public TwoChoices(LoadReports reports, RandomGenerator random) {
         this.reports = reports;
         this.random = random;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/package-info.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measures the decisions for server groups in virtual time: one service's servers and entry VMs at a time, with fakes
- * at the interfaces and fixed seeds.
+ * Measures the decisions for server groups by simulation in virtual time. Each run simulates the servers and entry VMs
+ * of one service, with fakes at the interfaces and a fixed seed.
  */
 package io.coppershelf.bench.decisions;
--- a/bench/src/test/java/io/coppershelf/bench/decisions/FakesTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/decisions/FakesTest.java
@@ -9,7 +9,7 @@
 class FakesTest {
     @ParameterizedTest
     @CsvSource({"0, 50, 50", "80, 20, 100", "80, 40, 220", "150, 10, 210", "200, 10, 210"})
-    void finishesWorkAtTheSpeedOfTheTime(long start, long work, long end) {
+    void finishesWorkAtTheSpeedOfEachTimeSpan(long start, long work, long end) {
         SpeedTimeline timeline = new SpeedTimeline().from(100, 0).from(200, 1);
         assertThat(timeline.finish(start, work)).hasValue(end);
     }
@@ -20,19 +20,19 @@
     }
 
     @Test
-    void grantsNoMoreEjectionsThanTheFloorLeaves() {
+    void grantsNoMoreEjectionsThanTheFloorPermits() {
         FloorCounter floor = new FloorCounter(4, 2);
         assertThat(floor.request("a", 0)).isTrue();
-        floor.reportOut("b", true);
+        floor.reportOutOfService("b", true);
         assertThat(floor.request("c", 0)).isFalse();
         assertThat(floor.request("a", 0)).isTrue();
-        floor.reportOut("b", false);
+        floor.reportOutOfService("b", false);
         assertThat(floor.request("c", 0)).isTrue();
-        assertThat(floor.request("d", FloorCounter.RIGHT)).isTrue();
+        assertThat(floor.request("d", FloorCounter.GRANT_NANOS)).isTrue();
     }
 
     @Test
-    void runsEventsInTheOrderOfTheirTimes() {
+    void runsEventsInOrderOfTime() {
         VirtualTime time = new VirtualTime();
         StringBuilder order = new StringBuilder();
         time.at(20, () -> order.append("b"));
--- a/bench/src/test/java/io/coppershelf/bench/decisions/ServiceSimulationTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/decisions/ServiceSimulationTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class ServiceSimulationTest {
-    private static final long LENGTH = 20 * Units.SECONDS;
+    private static final long END_NANOS = 20 * Units.SECONDS;
 
     private static RunResult run(Fault fault, Policy policy) {
         ServiceProfile docdesk = Customer.SYRMATOURGIA.services().get(2);
-        return ServiceSimulation.run(new RunSpec(docdesk, fault, 0.4, policy, 1, LENGTH));
+        return ServiceSimulation.run(new RunSpec(docdesk, fault, 0.4, policy, 1, END_NANOS));
     }
 
     @Test
@@ -24,7 +24,7 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void runsNothingTwiceAndTellsNoWrongOutcomeUnderAnyFault(Fault fault) {
+    void executesNothingTwiceAndReportsNoWrongOutcomeUnderAnyFault(Fault fault) {
         RunResult result = run(fault, Policy.COPPERSHELF);
         assertThat(result.requests).isGreaterThan(0);
         assertThat(result.executedTwice).isEqualTo(0);
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @EnumSource(Policy.class)
-    void servesARunOfEveryPolicy(Policy policy) {
+    void answersMostRequestsInTimeWithEveryPolicy(Policy policy) {
         assertThat(run(Fault.NONE, policy).shareInTime()).isGreaterThan(0.5);
     }
 }
