--- a/bench/src/main/java/io/coppershelf/bench/matrix/EntryAttempt.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/CallerRequest.java
@@ -22,32 +22,36 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** One attempt of a caller at one entry VM: the real decisions on claim and tries, driven in virtual time. */
-final class EntryAttempt implements AttemptPolicy {
+/** A caller's request at one entry VM: the production decisions about claim and attempts, run in virtual time. */
+final class CallerRequest implements AttemptPolicy {
     static final Duration DEADLINE = Duration.ofSeconds(2);
-    private static final Duration GIVE_UP_BEFORE = Duration.ofMillis(200);
-    private static final Duration LOSS_NOTICED_AFTER = Duration.ofMillis(300);
-    private static final Duration REPLY_WAIT = DEADLINE.plusMillis(500);
+    /** Time before the deadline after which no further attempt is sent. */
+    private static final Duration SEND_CUTOFF_BEFORE_DEADLINE = Duration.ofMillis(200);
+    /** Time until an entry VM detects that an owner was killed or restarted. */
+    private static final Duration LOSS_DETECTION_DELAY = Duration.ofMillis(300);
+
+    private static final Duration REPLY_TIMEOUT = DEADLINE.plusMillis(500);
     private static final RequestDigest DIGEST = new RequestDigest(1, 2);
     private static final GroupName GROUP = new GroupName(OwnerVm.SERVICE, "thess-a");
-    private static final int COMPLETIONS = 5;
+    /** Number of times that the completion is sent to each holder. */
+    private static final int COMPLETION_SENDS = 5;
 
     private final String id;
     private final String vm;
-    private final RequestSimulation world;
+    private final RequestSimulation simulation;
     private final VirtualNetwork network;
     private final RequestDecisions decisions = new RequestDecisions(false, this);
     private final Set<Integer> ended = new HashSet<>();
     private final ClaimRound round;
-    private Optional<RequestResult> told = Optional.empty();
-    private long toldNanos;
+    private Optional<RequestResult> callerResult = Optional.empty();
+    private long resultNanos;
     private long startNanos;
 
-    EntryAttempt(String id, String vm, RequestSimulation world) {
+    CallerRequest(String id, String vm, RequestSimulation simulation) {
         this.id = id;
         this.vm = vm;
-        this.world = world;
-        this.network = world.network();
+        this.simulation = simulation;
+        this.network = simulation.network();
         this.round = new ClaimRound(RequestSimulation.HOLDERS);
     }
 
@@ -59,13 +63,13 @@
         return vm;
     }
 
-    /** Returns what the caller was told. */
+    /** Returns the result that the caller received, empty if there is none yet. */
     Optional<RequestResult> result() {
-        return told;
+        return callerResult;
     }
 
     long resultNanos() {
-        return toldNanos;
+        return resultNanos;
     }
 
     long startNanos() {
@@ -74,12 +78,12 @@
 
     void start() {
         startNanos = network.nowNanos();
-        world.onStep(Step.RECEIVED);
+        simulation.onStep(Step.RECEIVED);
         ClaimRequest request = new ClaimRequest(RequestSimulation.KEY, DIGEST, id, DEADLINE.toMillis());
         for (String holder : RequestSimulation.HOLDERS) {
             network.send(vm, holder, () -> {
-                HolderDecision answer = world.holder(holder).claim(request, network.nowNanos());
-                network.send(holder, vm, () -> onClaim(round.onReply(holder, answer)));
+                HolderDecision decision = simulation.holder(holder).claim(request, network.nowNanos());
+                network.send(holder, vm, () -> onClaim(round.onReply(holder, decision)));
             });
             network.after(vm, Duration.ofMillis(500), () -> onClaim(round.onNoReply(holder)));
         }
@@ -100,21 +104,24 @@
         return true;
     }
 
-    private void onClaim(Optional<ClaimResult> verdict) {
-        if (verdict.isEmpty()) {
+    private void onClaim(Optional<ClaimResult> result) {
+        if (result.isEmpty()) {
             return;
         }
-        if (verdict.get() instanceof ClaimResult.Claimed) {
-            world.onStep(Step.CLAIMED);
-            network.after(vm, DEADLINE.minus(GIVE_UP_BEFORE), () -> handle(new RequestEvent.SendCutoffReached()));
+        if (result.get() instanceof ClaimResult.Claimed) {
+            simulation.onStep(Step.CLAIMED);
+            network.after(
+                    vm,
+                    DEADLINE.minus(SEND_CUTOFF_BEFORE_DEADLINE),
+                    () -> handle(new RequestEvent.SendCutoffReached()));
             network.after(vm, DEADLINE, () -> handle(new RequestEvent.DeadlinePassed()));
             handle(new RequestEvent.Started());
             return;
         }
-        tell(
-                verdict.get() instanceof ClaimResult.Answered answered
+        reportResult(
+                result.get() instanceof ClaimResult.Answered answered
                         ? RequestResult.answered(answered.answer())
-                        : RequestResult.failed(((ClaimResult.Rejected) verdict.get()).error()));
+                        : RequestResult.failed(((ClaimResult.Rejected) result.get()).error()));
         complete(ClaimStatus.NOT_RUN, Optional.empty());
     }
 
@@ -124,18 +131,18 @@
 
     private void perform(RequestAction action) {
         if (action instanceof RequestAction.SendAttempt send) {
-            sendTry(send);
+            sendAttempt(send);
         } else if (action instanceof RequestAction.CancelAttempt cancel) {
             RequestSimulation.OWNERS.forEach(owner ->
-                    network.send(vm, owner, () -> world.owner(owner).cancel(attemptId(cancel.number()))));
+                    network.send(vm, owner, () -> simulation.owner(owner).cancel(attemptId(cancel.number()))));
         } else if (action instanceof RequestAction.AnswerCaller answer) {
-            tell(answer.result());
-        } else if (action instanceof RequestAction.RecordOutcome settle) {
-            complete(status(settle.outcome()), Optional.of(settle));
+            reportResult(answer.result());
+        } else if (action instanceof RequestAction.RecordOutcome recordOutcome) {
+            complete(status(recordOutcome.outcome()), Optional.of(recordOutcome));
         }
     }
 
-    private void sendTry(RequestAction.SendAttempt send) {
+    private void sendAttempt(RequestAction.SendAttempt send) {
         int number = send.number();
         String owner = RequestSimulation.OWNERS.get(send.candidate());
         if (!network.isUp(owner)) {
@@ -143,22 +150,23 @@
                     vm, Duration.ofMillis(1), () -> end(number, AttemptResult.failed(ErrorKind.OWNER_UNREACHABLE)));
             return;
         }
-        int life = network.incarnation(owner);
+        int incarnation = network.incarnation(owner);
         network.send(
                 vm,
                 owner,
-                () -> world.owner(owner)
+                () -> simulation
+                        .owner(owner)
                         .receive(
                                 attemptId(number),
                                 DEADLINE,
                                 result -> network.send(owner, vm, () -> end(number, result))));
-        network.after(vm, LOSS_NOTICED_AFTER, () -> {
-            if (!network.isUp(owner) || network.incarnation(owner) != life) {
+        network.after(vm, LOSS_DETECTION_DELAY, () -> {
+            if (!network.isUp(owner) || network.incarnation(owner) != incarnation) {
                 end(number, AttemptResult.failed(ErrorKind.OWNER_LOST));
             }
         });
-        network.after(vm, REPLY_WAIT, () -> end(number, AttemptResult.failed(ErrorKind.OWNER_LOST)));
-        world.onStep(Step.FORWARDED);
+        network.after(vm, REPLY_TIMEOUT, () -> end(number, AttemptResult.failed(ErrorKind.OWNER_LOST)));
+        simulation.onStep(Step.FORWARDED);
     }
 
     private String attemptId(int number) {
@@ -171,18 +179,18 @@
         }
     }
 
-    private void tell(RequestResult result) {
-        told = Optional.of(result);
-        toldNanos = network.nowNanos();
+    private void reportResult(RequestResult result) {
+        callerResult = Optional.of(result);
+        resultNanos = network.nowNanos();
     }
 
-    private void complete(ClaimStatus status, Optional<RequestAction.RecordOutcome> settle) {
+    private void complete(ClaimStatus status, Optional<RequestAction.RecordOutcome> recordOutcome) {
         ClaimCompletion completion = new ClaimCompletion(
-                RequestSimulation.KEY, DIGEST, id, status, settle.flatMap(RequestAction.RecordOutcome::answer));
+                RequestSimulation.KEY, DIGEST, id, status, recordOutcome.flatMap(RequestAction.RecordOutcome::answer));
         List<String> holders = RequestSimulation.HOLDERS;
-        for (int i = 0; i < COMPLETIONS; i++) {
+        for (int i = 0; i < COMPLETION_SENDS; i++) {
             holders.forEach(holder ->
-                    network.send(vm, holder, () -> world.holder(holder).complete(completion, network.nowNanos())));
+                    network.send(vm, holder, () -> simulation.holder(holder).complete(completion, network.nowNanos())));
         }
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EjectionSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EjectionSimulation.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** Seven VMs that each want to eject a server of their own; the fault strikes while a right is asked for. */
+/** Simulates seven VMs, each of which requests to eject another server. The fault occurs while a grant is requested. */
 final class EjectionSimulation {
     static final int SERVERS = 7;
     static final int FLOOR = 5;
@@ -27,7 +27,9 @@
     private static final String SERVICE = "millrelease";
     private static final Duration TICK = Duration.ofMillis(100);
     private static final Duration WARM_UP = Duration.ofSeconds(25);
-    private static final Duration LOSS_NOTICED_AFTER = Duration.ofSeconds(3);
+    /** Time until the other VMs detect that a VM doesn't answer. */
+    private static final Duration LOSS_DETECTION_DELAY = Duration.ofSeconds(3);
+
     private static final Duration PAUSE = Duration.ofSeconds(30);
 
     private final VirtualNetwork network = new VirtualNetwork();
@@ -36,8 +38,8 @@
     private final List<String> ids =
             IntStream.range(0, VMS).mapToObj(i -> "vm-" + i).toList();
     private final Fault fault;
-    private boolean armed;
-    private int mostOut;
+    private boolean faultPending;
+    private int maxEjected;
 
     EjectionSimulation(Fault fault) {
         this.fault = fault;
@@ -45,15 +47,15 @@
         ids.forEach(this::start);
     }
 
-    /** Returns the most servers that were ejected at once. */
+    /** Returns the largest number of servers that were ejected at the same time. */
     int maxEjected() {
-        return mostOut;
+        return maxEjected;
     }
 
     void run() {
         network.runUntil(WARM_UP);
-        mostOut = 0;
-        armed = true;
+        maxEjected = 0;
+        faultPending = true;
         network.runUntil(WARM_UP.plusSeconds(60));
         network.healAll();
         network.runUntil(WARM_UP.plusSeconds(120));
@@ -95,9 +97,9 @@
         for (FloorAction action : actions) {
             if (action instanceof FloorAction.Send send) {
                 network.send(id, send.target(), () -> receive(id, send));
-                strikeAt(send);
+                injectFaultAt(send);
             } else if (action instanceof FloorAction.Granted) {
-                mostOut = Math.max(mostOut, ejected().size());
+                maxEjected = Math.max(maxEjected, ejected().size());
             }
         }
     }
@@ -118,30 +120,30 @@
         return servers;
     }
 
-    /** Strikes the VM that is asked for a right. */
-    private void strikeAt(FloorAction.Send send) {
-        if (!armed || !(send.message() instanceof GrantRequest)) {
+    /** Injects the fault at the issuer that receives the first grant request. */
+    private void injectFaultAt(FloorAction.Send send) {
+        if (!faultPending || !(send.message() instanceof GrantRequest)) {
             return;
         }
-        armed = false;
-        String granter = send.target();
+        faultPending = false;
+        String issuer = send.target();
         switch (fault) {
             case VM_KILLED -> {
-                network.kill(granter);
-                noticeLoss(granter);
+                network.kill(issuer);
+                reportUnreachable(issuer);
             }
-            case VM_PAUSED -> network.pause(granter, PAUSE);
+            case VM_PAUSED -> network.pause(issuer, PAUSE);
             case VM_RESTARTED -> {
-                network.restart(granter);
-                start(granter);
+                network.restart(issuer);
+                start(issuer);
             }
             case CUT_IN -> {
-                ids.forEach(id -> network.cut(id, granter));
-                noticeLoss(granter);
+                ids.forEach(id -> network.cut(id, issuer));
+                reportUnreachable(issuer);
             }
             case CUT_OUT -> {
-                ids.forEach(id -> network.cut(granter, id));
-                noticeLoss(granter);
+                ids.forEach(id -> network.cut(issuer, id));
+                reportUnreachable(issuer);
             }
             case SPLIT -> split();
             case DRAIN_DURING_WORK -> {
@@ -153,11 +155,11 @@
         }
     }
 
-    /** The other VMs find out that the VM does not answer; it stays on the list. */
-    private void noticeLoss(String lost) {
-        List<String> others = ids.stream().filter(id -> !id.equals(lost)).toList();
+    /** Makes the VM unreachable in the views of the other VMs, after a delay; it stays on the VM list. */
+    private void reportUnreachable(String unreachable) {
+        List<String> others = ids.stream().filter(id -> !id.equals(unreachable)).toList();
         others.forEach(id -> network.after(
-                id, LOSS_NOTICED_AFTER, () -> nodes.get(id).onFleet(view(id, others), network.nowNanos())));
+                id, LOSS_DETECTION_DELAY, () -> nodes.get(id).onFleet(view(id, others), network.nowNanos())));
     }
 
     private void split() {
--- a/bench/src/main/java/io/coppershelf/bench/matrix/FakeServer.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/FakeServer.java
@@ -9,64 +9,67 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** A backend server with the fault switches of the matrix, and the results that the HTTP client makes of it. */
+/**
+ * A simulated backend server into which the faults of the matrix can be injected. It returns the results that the HTTP
+ * client would derive from the server's answers.
+ */
 final class FakeServer {
     private static final Duration RUN_TIME = Duration.ofMillis(30);
-    private static final Duration LATE_BY = Duration.ofSeconds(5);
+    private static final Duration ANSWER_DELAY = Duration.ofSeconds(5);
 
     private final String name;
     private final VirtualNetwork network;
-    private final Consumer<Step> reached;
-    private final Map<String, Consumer<Result>> unstarted = new HashMap<>();
+    private final Consumer<Step> stepListener;
+    private final Map<String, Consumer<Result>> notStarted = new HashMap<>();
     private final List<String> received = new ArrayList<>();
     private final List<String> executed = new ArrayList<>();
     private Optional<Fault> fault = Optional.empty();
 
-    FakeServer(String name, VirtualNetwork network, Consumer<Step> reached) {
+    FakeServer(String name, VirtualNetwork network, Consumer<Step> stepListener) {
         this.name = name;
         this.network = network;
-        this.reached = reached;
+        this.stepListener = stepListener;
     }
 
     String name() {
         return name;
     }
 
-    void injectFault(Fault now) {
-        fault = Optional.of(now);
+    void injectFault(Fault injected) {
+        fault = Optional.of(injected);
     }
 
-    /** Returns the tries that arrived, in order. */
+    /** Returns the ids of the received attempts, in order. */
     List<String> received() {
         return received;
     }
 
-    /** Returns the tries that ran, in order. */
+    /** Returns the ids of the executed attempts, in order. */
     List<String> executed() {
         return executed;
     }
 
-    /** Takes a try; the result goes to the given receiver on the server's side. */
+    /** Receives an attempt; the result is passed to the consumer on the server's side of the network. */
     void receive(String attemptId, Consumer<Result> result) {
         received.add(attemptId);
-        unstarted.put(attemptId, result);
+        notStarted.put(attemptId, result);
         if (is(Fault.SERVER_STALLED)) {
             return;
         }
-        unstarted.remove(attemptId);
-        reached.accept(Step.RUNNING);
+        notStarted.remove(attemptId);
+        stepListener.accept(Step.RUNNING);
         network.after(name, RUN_TIME, () -> run(attemptId, result));
     }
 
-    /** Cancels a try; returns whether the server gives its word that it had not started it. */
+    /** Cancels an attempt; returns whether the server confirms that the attempt had not started. */
     boolean cancel(String attemptId) {
-        return unstarted.remove(attemptId) != null;
+        return notStarted.remove(attemptId) != null;
     }
 
     private void run(String attemptId, Consumer<Result> result) {
         executed.add(attemptId);
-        reached.accept(Step.ANSWERING);
-        Result whole = new Result(Optional.of(bodyOf(attemptId)), Optional.empty());
+        stepListener.accept(Step.ANSWERING);
+        Result complete = new Result(Optional.of(bodyOf(attemptId)), Optional.empty());
         if (is(Fault.SERVER_DIES_AFTER_RUN)) {
             result.accept(failed(ErrorKind.SERVER_LOST));
         } else if (is(Fault.ANSWER_TRUNCATED)) {
@@ -74,11 +77,11 @@
         } else if (is(Fault.ANSWER_CROSSED)) {
             result.accept(failed(ErrorKind.ANSWER_FOREIGN));
         } else if (is(Fault.ANSWER_LATE)) {
-            network.after(name, LATE_BY, () -> result.accept(whole));
+            network.after(name, ANSWER_DELAY, () -> result.accept(complete));
         } else {
-            result.accept(whole);
+            result.accept(complete);
             if (is(Fault.ANSWER_TWICE)) {
-                result.accept(whole);
+                result.accept(complete);
             }
         }
     }
@@ -95,6 +98,6 @@
         return fault.equals(Optional.of(expected));
     }
 
-    /** What the HTTP client hands on. */
+    /** The result of an attempt as the HTTP client returns it. */
     record Result(Optional<String> body, Optional<ErrorKind> error) {}
 }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/Fault.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/Fault.java
@@ -20,17 +20,17 @@
     ANSWER_TWICE,
     DRAIN_DURING_WORK;
 
-    /** Returns whether it strikes a VM or the ways between VMs. */
+    /** Returns whether the fault affects a VM or the network paths between VMs. */
     boolean isOfVms() {
         return compareTo(SPLIT) <= 0;
     }
 
-    /** Returns whether it strikes the platform. */
+    /** Returns whether the fault affects the platform. */
     boolean isOfPlatform() {
         return compareTo(PLATFORM_DOWN) >= 0 && compareTo(TWO_TICKETS_ONE_NUMBER) <= 0;
     }
 
-    /** Returns whether it strikes a backend server or its answer. */
+    /** Returns whether the fault affects a backend server or its answer. */
     boolean isOfServer() {
         return compareTo(SERVER_STALLED) >= 0;
     }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
@@ -19,32 +19,32 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** One VM as owner of the server group: the real decisions, driven in virtual time. */
+/** A VM that owns the server group: the production decisions, run in virtual time. */
 final class OwnerVm {
     static final String SERVICE = "millrelease";
     private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration CANCEL_LIMIT = Duration.ofMillis(500);
+    private static final Duration CANCEL_TIMEOUT = Duration.ofMillis(500);
 
     private final String id;
     private final VirtualNetwork network;
     private final Map<String, FakeServer> servers;
-    private final Consumer<Step> reached;
-    private final Map<String, Consumer<AttemptResult>> open = new HashMap<>();
+    private final Consumer<Step> stepListener;
+    private final Map<String, Consumer<AttemptResult>> openAttempts = new HashMap<>();
     private ServerGroup group;
     private boolean stopping;
     private boolean draining;
 
-    OwnerVm(String id, VirtualNetwork network, Map<String, FakeServer> servers, Consumer<Step> reached) {
+    OwnerVm(String id, VirtualNetwork network, Map<String, FakeServer> servers, Consumer<Step> stepListener) {
         this.id = id;
         this.network = network;
         this.servers = servers;
-        this.reached = reached;
+        this.stepListener = stepListener;
         start();
     }
 
-    /** Starts without memory. */
+    /** Starts with empty state, as after a restart. */
     void start() {
-        open.clear();
+        openAttempts.clear();
         group = ServerGroup.create(new GroupName(SERVICE, "thess-a"), new Random(1));
         configure();
         tick();
@@ -54,19 +54,19 @@
         stopping = true;
     }
 
-    /** Takes over a ticket by which the first server is draining. */
+    /** Applies a configuration in which the first server is draining. */
     void drainFirstServer() {
         draining = true;
         configure();
     }
 
-    /** Takes a forwarded try; its result goes to the given receiver on this VM's side. */
+    /** Receives a forwarded attempt; its result is passed to the consumer on this VM's side of the network. */
     void receive(String attemptId, Duration remaining, Consumer<AttemptResult> reply) {
         if (stopping) {
             reply.accept(AttemptResult.failed(ErrorKind.STOPPING));
             return;
         }
-        open.put(attemptId, reply);
+        openAttempts.put(attemptId, reply);
         long deadline = network.nowNanos() + remaining.toNanos();
         handle(new GroupEvent.RequestArrived(attemptId, SERVICE + "/release", false, 5, deadline, false));
     }
@@ -100,17 +100,18 @@
             reply(refuse.attemptId(), AttemptResult.refused(refuse.error(), refuse.retryAfter()));
         } else if (action instanceof GroupAction.CancelOnServer cancel) {
             cancelOnServer(cancel.attemptId(), servers.get(cancel.server()));
-        } else if (action instanceof GroupAction.RequestEjection ask) {
-            handle(new GroupEvent.EjectionRefused(ask.server()));
+        } else if (action instanceof GroupAction.RequestEjection request) {
+            handle(new GroupEvent.EjectionRefused(request.server()));
         }
     }
 
     private void dispatch(String attemptId, FakeServer server) {
-        reached.accept(Step.SENT);
-        network.send(id, server.name(), () -> server.receive(attemptId, result -> back(attemptId, server, result)));
+        stepListener.accept(Step.SENT);
+        network.send(
+                id, server.name(), () -> server.receive(attemptId, result -> returnResult(attemptId, server, result)));
     }
 
-    private void back(String attemptId, FakeServer server, FakeServer.Result result) {
+    private void returnResult(String attemptId, FakeServer server, FakeServer.Result result) {
         network.send(server.name(), id, () -> end(attemptId, result.body(), result.error()));
     }
 
@@ -123,11 +124,12 @@
                         () -> end(attemptId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN)));
             }
         });
-        network.after(id, CANCEL_LIMIT, () -> end(attemptId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_PASSED)));
+        network.after(
+                id, CANCEL_TIMEOUT, () -> end(attemptId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_PASSED)));
     }
 
     private void end(String attemptId, Optional<String> body, Optional<ErrorKind> error) {
-        if (!open.containsKey(attemptId)) {
+        if (!openAttempts.containsKey(attemptId)) {
             return;
         }
         Optional<Answer> answer = body.map(text -> new Answer(200, List.of(), text.getBytes(StandardCharsets.UTF_8)));
@@ -136,6 +138,6 @@
     }
 
     private void reply(String attemptId, AttemptResult result) {
-        Optional.ofNullable(open.remove(attemptId)).ifPresent(receiver -> receiver.accept(result));
+        Optional.ofNullable(openAttempts.remove(attemptId)).ifPresent(receiver -> receiver.accept(result));
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/RequestSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/RequestSimulation.java
@@ -13,48 +13,53 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** Two entry VMs, two owners, five holders of one key and two servers; one fault strikes when a step is reached. */
+/**
+ * Simulates requests with one idempotency key: two entry VMs, two owners, five holders of the claim and two servers.
+ * One fault is injected when a given step is reached.
+ */
 final class RequestSimulation {
     static final String KEY = OwnerVm.SERVICE + "/coil-7";
     static final List<String> ENTRIES = List.of("entry-a", "entry-b");
     static final List<String> OWNERS = List.of("owner-a", "owner-b");
     static final List<String> HOLDERS = List.of("holder-a", "holder-b", "holder-c", "holder-d", "holder-e");
-    private static final Duration SETTLED = Duration.ofSeconds(10);
+    /** Time before the first request, and before a restarted holder pulls the claims of the others. */
+    private static final Duration SETTLING_TIME = Duration.ofSeconds(10);
+
     private static final Duration PAUSE = Duration.ofSeconds(30);
 
     private final VirtualNetwork network = new VirtualNetwork();
     private final Map<String, FakeServer> servers = new HashMap<>();
     private final Map<String, OwnerVm> owners = new HashMap<>();
     private final Map<String, HolderState> holders = new HashMap<>();
-    private final List<EntryAttempt> attempts = new ArrayList<>();
+    private final List<CallerRequest> requests = new ArrayList<>();
     private final Step step;
-    private final Runnable strike;
-    private boolean struck;
+    private final Runnable faultInjection;
+    private boolean faultInjected;
 
     /**
-     * Creates the world.
+     * Creates the simulation and runs it until the holders have exchanged their claims.
      *
-     * @param step when the fault strikes
+     * @param step the step at which the fault is injected
      * @param fault the fault
-     * @param victim the VM that it strikes if it is one of VMs
+     * @param victim the VM that the fault affects, if it is a fault of a VM
      */
     RequestSimulation(Step step, Fault fault, String victim) {
         this.step = step == Step.STOP || step == Step.START ? Step.RUNNING : step;
-        this.strike = () -> {
+        this.faultInjection = () -> {
             if (step == Step.STOP) {
                 owners.get("owner-a").stop();
             }
             if (step == Step.START) {
                 restart("holder-a");
             }
-            strike(fault, victim);
+            inject(fault, victim);
         };
-        Consumer<Step> reached = this::onStep;
-        List.of("server-1", "server-2").forEach(name -> servers.put(name, new FakeServer(name, network, reached)));
-        OWNERS.forEach(id -> owners.put(id, new OwnerVm(id, network, servers, reached)));
+        Consumer<Step> stepListener = this::onStep;
+        List.of("server-1", "server-2").forEach(name -> servers.put(name, new FakeServer(name, network, stepListener)));
+        OWNERS.forEach(id -> owners.put(id, new OwnerVm(id, network, servers, stepListener)));
         HOLDERS.forEach(id -> holders.put(id, startHolder(id)));
         HOLDERS.forEach(id -> pull(id, HOLDERS));
-        network.runUntil(SETTLED);
+        network.runUntil(SETTLING_TIME);
     }
 
     VirtualNetwork network() {
@@ -69,51 +74,53 @@
         return holders.get(id);
     }
 
-    List<EntryAttempt> attempts() {
-        return attempts;
+    List<CallerRequest> requests() {
+        return requests;
     }
 
-    /** Returns the tries that ran on any server. */
+    /** Returns the ids of the attempts that were executed on any server. */
     List<String> executed() {
         return servers.values().stream()
                 .flatMap(server -> server.executed().stream())
                 .toList();
     }
 
-    /** Returns the tries that reached the server that drains in the drain fault. */
+    /** Returns the ids of the attempts received by the server that is drained by the drain fault. */
     List<String> receivedByDraining() {
         return servers.get("server-1").received();
     }
 
-    /** Sends the request: at once, again by another VM a second later, and again after the faults. */
+    /**
+     * Sends the request at once, through another VM one second later, and again before and after the network is healed.
+     */
     void run() {
-        attempt("first", "entry-a", Duration.ZERO);
-        attempt("second", "entry-b", Duration.ofSeconds(1));
-        attempt("third", "entry-b", Duration.ofSeconds(8));
-        network.runUntil(SETTLED.plusSeconds(20));
+        sendRequest("first", "entry-a", Duration.ZERO);
+        sendRequest("second", "entry-b", Duration.ofSeconds(1));
+        sendRequest("third", "entry-b", Duration.ofSeconds(8));
+        network.runUntil(SETTLING_TIME.plusSeconds(20));
         network.healAll();
-        attempt("fourth", "entry-b", Duration.ofSeconds(25));
-        network.runUntil(SETTLED.plusSeconds(80));
+        sendRequest("fourth", "entry-b", Duration.ofSeconds(25));
+        network.runUntil(SETTLING_TIME.plusSeconds(80));
     }
 
-    void onStep(Step now) {
-        if (now == step && !struck) {
-            struck = true;
-            strike.run();
+    void onStep(Step reached) {
+        if (reached == step && !faultInjected) {
+            faultInjected = true;
+            faultInjection.run();
         }
     }
 
     boolean isFaultInjected() {
-        return struck;
+        return faultInjected;
     }
 
-    private void attempt(String id, String vm, Duration delay) {
-        EntryAttempt attempt = new EntryAttempt(id, vm, this);
-        attempts.add(attempt);
-        network.after(vm, delay, attempt::start);
+    private void sendRequest(String id, String vm, Duration delay) {
+        CallerRequest request = new CallerRequest(id, vm, this);
+        requests.add(request);
+        network.after(vm, delay, request::start);
     }
 
-    private void strike(Fault fault, String victim) {
+    private void inject(Fault fault, String victim) {
         switch (fault) {
             case VM_KILLED -> network.kill(victim);
             case VM_PAUSED -> network.pause(victim, PAUSE);
@@ -134,7 +141,7 @@
         if (holders.containsKey(victim)) {
             HOLDERS.forEach(id -> holders.get(id).onFleet(view(id, victim), network.nowNanos()));
             holders.put(victim, startHolder(victim));
-            network.after(victim, SETTLED, () -> pull(victim, HOLDERS));
+            network.after(victim, SETTLING_TIME, () -> pull(victim, HOLDERS));
         }
     }
 
@@ -159,7 +166,7 @@
         return new HolderState(view(id, id), network.nowNanos());
     }
 
-    /** Returns the list of holders in the view of one, with a new start of the restarted one. */
+    /** Returns a holder's view of all holders; the restarted one has a new incarnation. */
     private FleetSnapshot view(String id, String restarted) {
         List<Vm> vms = HOLDERS.stream()
                 .map(name -> new Vm(
--- a/bench/src/main/java/io/coppershelf/bench/matrix/Step.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/Step.java
@@ -1,6 +1,6 @@
 package io.coppershelf.bench.matrix;
 
-/** The steps at which faults strike. */
+/** The steps at which faults are injected. */
 enum Step {
     RECEIVED,
     CLAIMED,
--- a/bench/src/main/java/io/coppershelf/bench/matrix/TicketSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/TicketSimulation.java
@@ -8,27 +8,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The configurations of three VMs while a ticket has reached only the first of them, and one fault. */
+/** Simulates the configurations of three VMs under one fault, while a ticket has reached only the first of them. */
 final class TicketSimulation {
     private static final int VMS = 3;
     private static final String SERVICE = "millrelease";
 
     private final List<ConfigurationStore> stores = new ArrayList<>();
-    private final List<Long> highest = new ArrayList<>();
+    private final List<Long> highestTickets = new ArrayList<>();
     private final List<String> reverts = new ArrayList<>();
 
     TicketSimulation() {
         for (int vm = 0; vm < VMS; vm++) {
             stores.add(new ConfigurationStore());
-            highest.add(0L);
+            highestTickets.add(0L);
             apply(vm, ticket(1, 1));
         }
         apply(0, ticket(2, 2));
     }
 
-    /** Lets the fault strike, all that follows from it happen, and the ways heal. */
+    /** Injects the fault with its consequences, then lets all VMs repair their configurations from each other. */
     void run(Fault fault) {
-        List<ObjectVersion> late = versions(0);
+        List<ObjectVersion> delayed = versions(0);
         switch (fault) {
             case VM_KILLED -> restart(0);
             case VM_RESTARTED -> {
@@ -37,7 +37,7 @@
             }
             case VM_PAUSED, CUT_OUT -> {
                 apply(1, ticket(3, 3));
-                late.forEach(version -> apply(1, version));
+                delayed.forEach(version -> apply(1, version));
             }
             case CUT_IN, SPLIT -> {
                 apply(1, ticket(3, 3));
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Returns what went back on a VM that served, empty if nothing did. */
+    /** Returns the VMs that went back to an earlier ticket while serving, as texts; empty if there are none. */
     List<String> reverts() {
         return reverts;
     }
@@ -85,8 +85,8 @@
         return stores.stream().map(store -> store.snapshot().digest()).toList();
     }
 
-    /** Returns on how many VMs two contents under one number were noticed. */
-    long alarms() {
+    /** Returns the number of VMs that detected different contents under the same ticket number. */
+    long vmsWithConflict() {
         return stores.stream().filter(store -> !store.conflicts().isEmpty()).count();
     }
 
@@ -106,16 +106,16 @@
 
     private void check(int vm) {
         long now = inForce().get(vm);
-        if (now < highest.get(vm)) {
-            reverts.add("VM " + vm + " went from ticket " + highest.get(vm) + " to " + now);
+        if (now < highestTickets.get(vm)) {
+            reverts.add("VM " + vm + " went from ticket " + highestTickets.get(vm) + " to " + now);
         }
-        highest.set(vm, now);
+        highestTickets.set(vm, now);
     }
 
-    /** A VM that starts does not serve before a peer has told it what is in force. */
+    /** Restarts a VM without configuration; it doesn't serve until it has received the tickets in force from a peer. */
     private void restart(int vm) {
         stores.set(vm, new ConfigurationStore());
-        highest.set(vm, 0L);
+        highestTickets.set(vm, 0L);
     }
 
     private void repair(int from, int to) {
--- a/bench/src/main/java/io/coppershelf/bench/matrix/VirtualNetwork.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/VirtualNetwork.java
@@ -8,44 +8,47 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 
-/** Virtual time and the ways between hosts that can be killed, paused, restarted and cut in one direction. */
+/** A network in virtual time. Hosts can be killed, paused and restarted, and network paths cut in one direction. */
 final class VirtualNetwork {
     private static final Duration LATENCY = Duration.ofMillis(1);
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::order));
-    private final Map<String, Integer> lives = new HashMap<>();
+    private final Map<String, Integer> incarnations = new HashMap<>();
     private final Map<String, Long> pausedUntil = new HashMap<>();
     private final Set<String> killed = new HashSet<>();
     private final Set<String> cuts = new HashSet<>();
-    private long now;
+    private long nowNanos;
     private long order;
 
     long nowNanos() {
-        return now;
+        return nowNanos;
     }
 
-    /** Runs what is due until the given time. */
+    /** Runs the tasks that are due up to the given time, inclusive. */
     void runUntil(Duration end) {
         while (!events.isEmpty() && events.peek().atNanos() <= end.toNanos()) {
             Event event = events.poll();
-            now = Math.max(now, event.atNanos());
+            nowNanos = Math.max(nowNanos, event.atNanos());
             run(event);
         }
-        now = Math.max(now, end.toNanos());
+        nowNanos = Math.max(nowNanos, end.toNanos());
     }
 
-    /** Runs the task on the host after the delay, later if it is paused then, never if it is killed or restarted. */
+    /**
+     * Schedules the task on the host after the delay. A paused host runs it at the end of its pause; a host that is
+     * killed or restarted before never runs it.
+     */
     void after(String host, Duration delay, Runnable task) {
-        add(host, now + delay.toNanos(), task);
+        add(host, nowNanos + delay.toNanos(), task);
     }
 
-    /** Carries a message from host to host; a restart of the target breaks the connection on which it comes. */
+    /** Delivers a message from host to host; it is lost if the target restarts first, which closes the connection. */
     void send(String from, String to, Runnable onArrival) {
         if (cuts.contains(from + ">" + to) || killed.contains(from)) {
             return;
         }
-        add(to, now + LATENCY.toNanos(), onArrival);
+        add(to, nowNanos + LATENCY.toNanos(), onArrival);
     }
 
     boolean isUp(String host) {
@@ -53,7 +56,7 @@
     }
 
     int incarnation(String host) {
-        return lives.getOrDefault(host, 0);
+        return incarnations.getOrDefault(host, 0);
     }
 
     void kill(String host) {
@@ -61,11 +64,11 @@
     }
 
     void restart(String host) {
-        lives.merge(host, 1, Integer::sum);
+        incarnations.merge(host, 1, Integer::sum);
     }
 
     void pause(String host, Duration duration) {
-        pausedUntil.put(host, now + duration.toNanos());
+        pausedUntil.put(host, nowNanos + duration.toNanos());
     }
 
     void cut(String from, String to) {
@@ -81,17 +84,17 @@
     }
 
     private void run(Event event) {
-        boolean isGone = killed.contains(event.host()) || event.life() != incarnation(event.host());
-        if (isGone) {
+        boolean isDiscarded = killed.contains(event.host()) || event.incarnation() != incarnation(event.host());
+        if (isDiscarded) {
             return;
         }
-        long wake = pausedUntil.getOrDefault(event.host(), 0L);
-        if (now < wake) {
-            events.add(new Event(wake, order++, event.host(), event.life(), event.task()));
+        long resumeNanos = pausedUntil.getOrDefault(event.host(), 0L);
+        if (nowNanos < resumeNanos) {
+            events.add(new Event(resumeNanos, order++, event.host(), event.incarnation(), event.task()));
             return;
         }
         event.task().run();
     }
 
-    private record Event(long atNanos, long order, String host, int life, Runnable task) {}
+    private record Event(long atNanos, long order, String host, int incarnation, Runnable task) {}
 }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/package-info.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/package-info.java
@@ -1,2 +1,2 @@
-/** Small worlds in virtual time in which each fault strikes at each step, for the fault matrix. */
+/** Small simulations in virtual time for the fault matrix, which injects each fault at each step. */
 package io.coppershelf.bench.matrix;
--- a/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Every fault at every step: what must always hold, holds. A cell that can't occur says why. */
+/** Injects every fault at every step and checks the invariants. A cell that can't occur has a reason. */
 class FaultMatrixTest {
     private static final List<String> VICTIMS =
             List.of("entry-a", "owner-a", "holder-a", "holder-b", "holder-e", "entry-b", "owner-b");
@@ -34,7 +34,7 @@
     }
 
     private static Optional<String> reason(Arguments cell) {
-        return whyNotPossible((Fault) cell.get()[0], (Step) cell.get()[1]);
+        return reasonImpossible((Fault) cell.get()[0], (Step) cell.get()[1]);
     }
 
     private static Stream<Arguments> cells() {
@@ -44,7 +44,7 @@
 
     @ParameterizedTest(name = "{0} at {1}")
     @MethodSource("possibleCells")
-    void holdsUnder(Fault fault, Step step) {
+    void invariantsHold(Fault fault, Step step) {
         if (step == Step.TICKET_HALF_SPREAD || (step == Step.START && fault.isOfPlatform())) {
             checkTickets(fault);
         } else if (step == Step.EJECTION_HALF_GRANTED) {
@@ -56,17 +56,17 @@
 
     @ParameterizedTest(name = "{0} at {1} can''t occur: {2}")
     @MethodSource("impossibleCells")
-    void cellThatCannotOccurSaysWhy(Fault fault, Step step, String reason) {
+    void cellThatCannotOccurHasAReason(Fault fault, Step step, String reason) {
         assertWithMessage("%s at %s", fault, step).that(reason).isNotEmpty();
     }
 
     @Test
-    void noCellIsLeftOutWithoutNotice() {
+    void everyCellIsEitherTestedOrListedAsImpossible() {
         assertThat(possibleCells().count()).isEqualTo(115);
         assertThat(impossibleCells().count()).isEqualTo(55);
     }
 
-    private static Optional<String> whyNotPossible(Fault fault, Step step) {
+    private static Optional<String> reasonImpossible(Fault fault, Step step) {
         if (step == Step.TICKET_HALF_SPREAD) {
             return fault.isOfServer() ? Optional.of("no backend server takes part in the spread") : Optional.empty();
         }
@@ -74,13 +74,13 @@
             boolean isDrain = fault == Fault.DRAIN_DURING_WORK;
             return fault.isOfVms() || isDrain
                     ? Optional.empty()
-                    : Optional.of("a right is asked for and granted without the platform and the server");
+                    : Optional.of("a grant is requested and issued without the platform and the server");
         }
         if (fault.isOfPlatform()) {
             return step == Step.START ? Optional.empty() : Optional.of("no request waits for the platform");
         }
         if (fault.isOfServer() && step == Step.START) {
-            return Optional.of("a VM that starts has nothing under way at a server");
+            return Optional.of("a VM that starts has no attempt in flight to a server");
         }
         if (fault == Fault.SERVER_STALLED && (step == Step.RUNNING || step == Step.ANSWERING || step == Step.STOP)) {
             return Optional.of("the server has started the request already");
@@ -94,81 +94,87 @@
     }
 
     private static void checkRequest(Fault fault, Step step, String victim) {
-        RequestSimulation world = new RequestSimulation(step, fault, victim);
-        world.run();
+        RequestSimulation simulation = new RequestSimulation(step, fault, victim);
+        simulation.run();
         String cell = fault + " at " + step + " of " + victim;
-        assertWithMessage("%s struck", cell).that(world.isFaultInjected()).isTrue();
-        List<String> executed = world.executed();
-        assertWithMessage("%s, tries run", cell).that(executed.size()).isAtMost(1);
-        world.attempts().forEach(attempt -> checkAttempt(cell, attempt, executed));
+        assertWithMessage("%s, fault injected", cell)
+                .that(simulation.isFaultInjected())
+                .isTrue();
+        List<String> executed = simulation.executed();
+        assertWithMessage("%s, attempts executed", cell).that(executed.size()).isAtMost(1);
+        simulation.requests().forEach(request -> checkOutcome(cell, request, executed));
         if (fault == Fault.DRAIN_DURING_WORK) {
-            assertWithMessage("%s, tries at the draining server", cell)
-                    .that(world.receivedByDraining().size())
+            assertWithMessage("%s, attempts received by the draining server", cell)
+                    .that(simulation.receivedByDraining().size())
                     .isAtMost(1);
-            assertWithMessage("%s, work under way", cell)
-                    .that(world.attempts().get(0).result().flatMap(RequestResult::answer))
+            assertWithMessage("%s, answer to the request in progress", cell)
+                    .that(simulation.requests().get(0).result().flatMap(RequestResult::answer))
                     .isPresent();
         }
-        checkEntry(cell, fault, victim, world);
+        checkAnsweredInTime(cell, fault, victim, simulation);
     }
 
-    private static void checkAttempt(String cell, EntryAttempt attempt, List<String> executed) {
-        Optional<RequestResult> told = attempt.result();
+    private static void checkOutcome(String cell, CallerRequest request, List<String> executed) {
+        Optional<RequestResult> result = request.result();
         Outcome outcome =
-                told.flatMap(RequestResult::error).map(ErrorKind::outcome).orElse(Outcome.UNKNOWN);
-        boolean ran = executed.stream().anyMatch(id -> id.startsWith(attempt.id() + "/"));
-        assertWithMessage("%s, %s told as not run and ran", cell, attempt.id())
+                result.flatMap(RequestResult::error).map(ErrorKind::outcome).orElse(Outcome.UNKNOWN);
+        boolean ran = executed.stream().anyMatch(id -> id.startsWith(request.id() + "/"));
+        assertWithMessage("%s, %s reported as not run but executed", cell, request.id())
                 .that(outcome == Outcome.NOT_RUN && ran)
                 .isFalse();
-        told.flatMap(RequestResult::answer).ifPresent(answer -> {
-            assertWithMessage("%s, runs behind an answer", cell).that(executed).hasSize(1);
+        result.flatMap(RequestResult::answer).ifPresent(answer -> {
+            assertWithMessage("%s, executions of an answered request", cell)
+                    .that(executed)
+                    .hasSize(1);
             assertWithMessage("%s, answer", cell)
                     .that(new String(answer.body(), StandardCharsets.UTF_8))
                     .isEqualTo(FakeServer.bodyOf(executed.get(0)));
         });
     }
 
-    /** Each caller hears in time, unless its own entry VM is away. */
-    private static void checkEntry(String cell, Fault fault, String victim, RequestSimulation world) {
-        for (EntryAttempt attempt : world.attempts()) {
-            boolean isAway = attempt.vm().equals(victim) && fault != Fault.CUT_IN && fault != Fault.CUT_OUT;
-            if (isAway) {
+    /** Checks that each caller receives a result in time, unless its own entry VM is down or paused. */
+    private static void checkAnsweredInTime(String cell, Fault fault, String victim, RequestSimulation simulation) {
+        for (CallerRequest request : simulation.requests()) {
+            boolean isEntryDown = request.vm().equals(victim) && fault != Fault.CUT_IN && fault != Fault.CUT_OUT;
+            if (isEntryDown) {
                 continue;
             }
-            assertWithMessage("%s, %s told", cell, attempt.id())
-                    .that(attempt.result().isPresent())
+            assertWithMessage("%s, result of %s", cell, request.id())
+                    .that(request.result().isPresent())
                     .isTrue();
-            assertWithMessage("%s, time of %s", cell, attempt.id())
-                    .that(attempt.resultNanos() - attempt.startNanos())
-                    .isAtMost(EntryAttempt.DEADLINE.plus(ANSWER_MARGIN).toNanos());
+            assertWithMessage("%s, time of %s", cell, request.id())
+                    .that(request.resultNanos() - request.startNanos())
+                    .isAtMost(CallerRequest.DEADLINE.plus(ANSWER_MARGIN).toNanos());
         }
     }
 
     private static void checkTickets(Fault fault) {
-        TicketSimulation world = new TicketSimulation();
-        world.run(fault);
-        assertWithMessage("%s, reverts", fault).that(world.reverts()).isEmpty();
+        TicketSimulation simulation = new TicketSimulation();
+        simulation.run(fault);
+        assertWithMessage("%s, reverts", fault).that(simulation.reverts()).isEmpty();
         assertWithMessage("%s, digests", fault)
-                .that(world.digests().stream().distinct().count())
+                .that(simulation.digests().stream().distinct().count())
                 .isEqualTo(1);
         if (fault != Fault.VM_KILLED && fault != Fault.VM_RESTARTED) {
             assertWithMessage("%s, ticket in force", fault)
-                    .that(world.inForce().get(0))
+                    .that(simulation.inForce().get(0))
                     .isAtLeast(2L);
         }
         if (fault == Fault.TWO_TICKETS_ONE_NUMBER) {
-            assertWithMessage("VMs that raise the alarm").that(world.alarms()).isAtLeast(1L);
+            assertWithMessage("VMs that detect the conflict")
+                    .that(simulation.vmsWithConflict())
+                    .isAtLeast(1L);
         }
     }
 
     private static void checkFloor(Fault fault) {
-        EjectionSimulation world = new EjectionSimulation(fault);
-        world.run();
-        assertWithMessage("%s, servers out at once", fault)
-                .that(world.maxEjected())
+        EjectionSimulation simulation = new EjectionSimulation(fault);
+        simulation.run();
+        assertWithMessage("%s, servers ejected at the same time", fault)
+                .that(simulation.maxEjected())
                 .isAtMost(EjectionSimulation.SERVERS - EjectionSimulation.FLOOR);
-        assertWithMessage("%s, rights granted again", fault)
-                .that(world.maxEjected())
+        assertWithMessage("%s, grants issued after the warm-up", fault)
+                .that(simulation.maxEjected())
                 .isAtLeast(1);
     }
 }
