--- a/bench/src/main/java/io/coppershelf/bench/BenchMain.java
+++ b/bench/src/main/java/io/coppershelf/bench/BenchMain.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * Runs one program of the bench by its name: the first argument, the rest goes to the program.
+ * Runs the bench program that the first argument names, with the remaining arguments.
  *
  * <p>Example: {@code BenchMain backends --tickets examples/association/tickets --admin-port 9100}.
  */
--- a/bench/src/main/java/io/coppershelf/bench/BenchProgram.java
+++ b/bench/src/main/java/io/coppershelf/bench/BenchProgram.java
@@ -16,8 +16,8 @@
 /**
  * A program of the bench.
  *
- * @param name its name on the command line
- * @param body what it runs
+ * @param name the name on the command line
+ * @param body the main method
  */
 record BenchProgram(String name, Body body) {
     private static final List<BenchProgram> ALL = List.of(
@@ -31,6 +31,7 @@
             new BenchProgram("overhead", OverheadBench::main),
             new BenchProgram("decisions", DecisionsBench::main));
 
+    /** Returns the program of the given name, empty if there is none. */
     static Optional<BenchProgram> named(String name) {
         return ALL.stream().filter(program -> program.name.equals(name)).findFirst();
     }
@@ -46,7 +47,7 @@
     /** The main method of a program. */
     @FunctionalInterface
     interface Body {
-        /** Runs with the arguments. */
+        /** Runs the program with the given arguments. */
         void run(String[] args) throws Exception;
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/DecisionsBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/DecisionsBench.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Measures the decisions and prints the results as tables, or as JSON lines with {@code --json}. */
+/** Measures the decisions for server groups and prints the results as tables, or as JSON lines with {@code --json}. */
 public final class DecisionsBench {
     private DecisionsBench() {}
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
@@ -51,7 +51,7 @@
         return grants;
     }
 
-    /** Returns a lease to the free ones. */
+    /** Makes a returned lease available again. */
     void release(Lease lease) {
         free.addLast(lease);
     }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Policy.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Policy.java
@@ -45,7 +45,7 @@
         return layout;
     }
 
-    /** Creates the decisions of one host. */
+    /** Creates the decisions that one host makes under this policy. */
     ServerGroupDecisions create(GroupName name, LoadReports reports, RandomGenerator random) {
         return switch (this) {
             case COPPERSHELF, OWNER_PER_SERVER, LEASES -> ServerGroup.create(name, random);
--- a/bench/src/main/java/io/coppershelf/bench/package-info.java
+++ b/bench/src/main/java/io/coppershelf/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins, load generator and measurements; not part of the shipped jar. */
+/** Simulated backend servers and platform, load generator and benchmarks; not part of the shipped jar. */
 package io.coppershelf.bench;
