--- a/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimate.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimate.java
@@ -3,71 +3,85 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The probability that a server is sick, by a hidden Markov model with two states: well servers turn sick and sick ones
- * recover at constant rates, and each observation weighs by its likelihood in either state. Immutable.
+ * The probability that a server is unhealthy, estimated with a hidden Markov model of two states: healthy servers
+ * become unhealthy and unhealthy ones recover at constant rates, and each observation is weighted by its likelihood in
+ * either state. Immutable.
  *
  * @param unhealthyProbability the probability at the time of the last observation, between 0 and 1
  * @param atNanos the monotonic time of the last observation
- * @param failedNanos the monotonic time of the last bad observation, {@link Long#MIN_VALUE} before the first
+ * @param failedNanos the monotonic time of the last negative observation, {@link Long#MIN_VALUE} before the first
  */
 public record HealthEstimate(double unhealthyProbability, long atNanos, long failedNanos) {
-    /** Mean time that a server stays sick, in seconds; gray failures of the workloads last several seconds. */
-    static final double MEAN_SICK_SECONDS = 10;
-    /** Mean time that a server stays well, in seconds; at any time up to a quarter of the servers fail grayly. */
-    static final double MEAN_WELL_SECONDS = 30;
-    /** The share of the time that a server is sick, which is believed of a server without observations. */
-    public static final double BASE_SICKNESS = MEAN_SICK_SECONDS / (MEAN_SICK_SECONDS + MEAN_WELL_SECONDS);
+    /**
+     * Mean duration of the unhealthy state, in seconds; gray failures in the expected workloads last several seconds.
+     */
+    static final double MEAN_UNHEALTHY_SECONDS = 10;
+    /**
+     * Mean duration of the healthy state, in seconds; up to a quarter of the servers have a gray failure at any time.
+     */
+    static final double MEAN_HEALTHY_SECONDS = 30;
+    /** Share of the time that a server is unhealthy, which is the probability for a server without observations. */
+    public static final double BASE_PROBABILITY =
+            MEAN_UNHEALTHY_SECONDS / (MEAN_UNHEALTHY_SECONDS + MEAN_HEALTHY_SECONDS);
 
-    private static final double RELAXATION_PER_SECOND = 1 / MEAN_SICK_SECONDS + 1 / MEAN_WELL_SECONDS;
-    /** Bounds of the probability, so that a few contrary observations always suffice to change the verdict. */
-    private static final double LOWEST = 0.002;
+    private static final double RELAXATION_PER_SECOND = 1 / MEAN_UNHEALTHY_SECONDS + 1 / MEAN_HEALTHY_SECONDS;
+    /** Bounds of the probability, so that a few contrary observations always suffice to reverse the estimate. */
+    private static final double MIN_PROBABILITY = 0.002;
 
-    private static final double HIGHEST = 0.995;
-    /** From this probability on, a server counts as suspected in logs. */
-    private static final double SUSPECT = 0.4;
-    /** Time after which most sicknesses are over, in seconds; a server that failed longer ago may be tried. */
-    private static final double RETRY_SECONDS = 11;
-    /** For comparisons of probabilities. */
+    private static final double MAX_PROBABILITY = 0.995;
+    /** Probability from which on the log reports a server as suspected. */
+    private static final double SUSPECTED_PROBABILITY = 0.4;
+    /**
+     * Time after which most gray failures are over, in seconds; a server whose last failure is older may get a trial
+     * request.
+     */
+    private static final double TRIAL_DELAY_SECONDS = 11;
+    /** Tolerance for comparisons of probabilities. */
     private static final double TOLERANCE = 1e-6;
-    /** From this probability on, peers hear of good observations too; below it they would learn little from one. */
-    private static final double UNCERTAIN = 0.1;
+    /**
+     * Probability from which on positive observations are reported to peers too; below it they would hardly change the
+     * estimates of the peers.
+     */
+    private static final double UNCERTAIN_PROBABILITY = 0.1;
 
-    /** Returns the belief in a server without observations. */
+    /** Returns the estimate for a server without observations. */
     public static HealthEstimate initial(long nowNanos) {
-        return new HealthEstimate(BASE_SICKNESS, nowNanos, Long.MIN_VALUE);
+        return new HealthEstimate(BASE_PROBABILITY, nowNanos, Long.MIN_VALUE);
     }
 
-    /** Returns the belief after an observation. */
+    /** Returns the estimate after an observation. */
     public HealthEstimate after(Observation observation, long nowNanos) {
         double before = unhealthyProbabilityAt(nowNanos);
         double odds = before / (1 - before) * observation.likelihoodRatio();
-        double after = Math.min(HIGHEST, Math.max(LOWEST, odds / (1 + odds)));
+        double after = Math.min(MAX_PROBABILITY, Math.max(MIN_PROBABILITY, odds / (1 + odds)));
         return new HealthEstimate(after, nowNanos, observation.isNegative() ? nowNanos : failedNanos);
     }
 
-    /** Returns the probability at a time; without observations it returns to the base. */
+    /** Returns the probability at a time; without observations it converges to {@link #BASE_PROBABILITY}. */
     public double unhealthyProbabilityAt(long nowNanos) {
         double seconds = secondsSince(atNanos, nowNanos);
-        return BASE_SICKNESS + (unhealthyProbability - BASE_SICKNESS) * Math.exp(-RELAXATION_PER_SECOND * seconds);
+        return BASE_PROBABILITY
+                + (unhealthyProbability - BASE_PROBABILITY) * Math.exp(-RELAXATION_PER_SECOND * seconds);
     }
 
-    /** Returns whether a good observation is worth telling others at a time. */
+    /** Returns whether a positive observation at a time is reported to other VMs. */
     boolean isUncertain(long nowNanos) {
-        return unhealthyProbabilityAt(nowNanos) >= UNCERTAIN;
+        return unhealthyProbabilityAt(nowNanos) >= UNCERTAIN_PROBABILITY;
     }
 
     /** Returns whether the server is suspected at a time. */
     public boolean isSuspected(long nowNanos) {
-        return unhealthyProbabilityAt(nowNanos) >= SUSPECT;
+        return unhealthyProbabilityAt(nowNanos) >= SUSPECTED_PROBABILITY;
     }
 
     /**
-     * Returns whether a request may find out how the server is: it is no more likely sick than one of which nothing is
-     * known, or its last failure was so long ago that it may have recovered.
+     * Returns whether the server may get a request that tests its health: it is no more likely to be unhealthy than a
+     * server without observations, or its last failure is old enough that it may have recovered.
      */
     public boolean allowsTrialRequest(long nowNanos) {
-        boolean isOldFailure = failedNanos != Long.MIN_VALUE && secondsSince(failedNanos, nowNanos) >= RETRY_SECONDS;
-        return isOldFailure || unhealthyProbabilityAt(nowNanos) <= BASE_SICKNESS + TOLERANCE;
+        boolean isOldFailure =
+                failedNanos != Long.MIN_VALUE && secondsSince(failedNanos, nowNanos) >= TRIAL_DELAY_SECONDS;
+        return isOldFailure || unhealthyProbabilityAt(nowNanos) <= BASE_PROBABILITY + TOLERANCE;
     }
 
     private static double secondsSince(long fromNanos, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimates.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimates.java
@@ -4,30 +4,30 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The beliefs in all servers that were heard of. One thread observes; any thread reads. */
+/** The health estimates of all servers with observations. One thread writes; any thread reads. */
 public final class HealthEstimates {
-    private final Map<String, HealthEstimate> beliefs = new ConcurrentHashMap<>();
+    private final Map<String, HealthEstimate> estimates = new ConcurrentHashMap<>();
 
     /**
-     * Takes an observation into account.
+     * Updates the estimate of a server with an observation.
      *
      * @param serverKey the server and its incarnation
-     * @return whether it is news for the fleet: bad, or good of a server about which little was known
+     * @return whether other VMs need the observation: it is negative, or the estimate of the server was uncertain
      */
     public boolean observe(String serverKey, Observation observation, long nowNanos) {
         HealthEstimate before = estimate(serverKey, nowNanos);
-        beliefs.put(serverKey, before.after(observation, nowNanos));
+        estimates.put(serverKey, before.after(observation, nowNanos));
         return observation.isNegative() || before.isUncertain(nowNanos);
     }
 
-    /** Returns the belief in a server. */
+    /** Returns the estimate of a server, the initial one if the server has no observations. */
     public HealthEstimate estimate(String serverKey, long nowNanos) {
-        HealthEstimate known = beliefs.get(serverKey);
+        HealthEstimate known = estimates.get(serverKey);
         return known == null ? HealthEstimate.initial(nowNanos) : known;
     }
 
-    /** Forgets all servers but the given ones. */
+    /** Removes all servers but the given ones. */
     public void retain(Set<String> serverKeys) {
-        beliefs.keySet().retainAll(serverKeys);
+        estimates.keySet().retainAll(serverKeys);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/estimate/Observation.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/Observation.java
@@ -3,47 +3,50 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** What the outcome of one request says about the server, as probabilities under both hypotheses. */
+/**
+ * The outcome of one request as evidence on the health of its server, with the probability of the outcome on an
+ * unhealthy and on a healthy server.
+ */
 public enum Observation {
-    /** A whole answer that is no failure. */
+    /** A complete answer that is not a failure. */
     SUCCESS(1, 0.35, 0.98),
     /** A failure that the server caused, or a request that it dropped. */
     FAILURE(2, 0.60, 0.015),
-    /** No answer for several times the usual time. */
+    /** No answer within several times the typical latency. */
     STALL(3, 0.50, 0.02),
-    /** An answer that is cut off or not part of the protocol. */
+    /** An answer that is truncated or violates the protocol. */
     GARBLED(4, 0.20, 0.01),
-    /** Refused before it ran. */
+    /** The server refused the request before running it. */
     SHED(5, 0.40, 0.10);
 
     private final int code;
-    private final double whenSick;
-    private final double whenWell;
+    private final double probabilityIfUnhealthy;
+    private final double probabilityIfHealthy;
 
-    Observation(int code, double whenSick, double whenWell) {
+    Observation(int code, double probabilityIfUnhealthy, double probabilityIfHealthy) {
         this.code = code;
-        this.whenSick = whenSick;
-        this.whenWell = whenWell;
+        this.probabilityIfUnhealthy = probabilityIfUnhealthy;
+        this.probabilityIfHealthy = probabilityIfHealthy;
     }
 
-    /** Returns the number that stands for it in messages. */
+    /** Returns the number that encodes this observation in messages. */
     public int code() {
         return code;
     }
 
-    /** Returns the observation for a number, empty if there is none. */
+    /** Returns the observation with the code, empty if there is none. */
     public static Optional<Observation> ofCode(int code) {
         return Arrays.stream(values())
                 .filter(observation -> observation.code == code)
                 .findFirst();
     }
 
-    /** Returns how much more likely a sick server causes this than a well one. */
+    /** Returns the probability of this outcome on an unhealthy server divided by that on a healthy one. */
     double likelihoodRatio() {
-        return whenSick / whenWell;
+        return probabilityIfUnhealthy / probabilityIfHealthy;
     }
 
-    /** Returns whether the observation speaks for a sick server. */
+    /** Returns whether this outcome raises the probability that the server is unhealthy. */
     public boolean isNegative() {
         return this != SUCCESS;
     }
--- a/coppershelf/src/test/java/io/coppershelf/health/estimate/HealthEstimateTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/health/estimate/HealthEstimateTest.java
@@ -5,86 +5,88 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: a server fails most requests for some seconds while its probes are good, and each VM sees it rarely. */
+/**
+ * Scenario: a server fails most requests for some seconds while it answers probes, and each VM sends it few requests.
+ */
 final class HealthEstimateTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
     @Test
-    void oneFailureOfAnUnknownServerMakesItSuspect() {
-        HealthEstimate belief = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
-        assertThat(belief.isSuspected(0)).isTrue();
+    void oneFailureOfAServerWithoutObservationsMakesItSuspected() {
+        HealthEstimate estimate = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
+        assertThat(estimate.isSuspected(0)).isTrue();
     }
 
     @Test
-    void oneFailureOfAProvenServerIsForgivenAfterASuccess() {
-        HealthEstimate belief = HealthEstimate.initial(0);
+    void oneFailureOfAHealthyServerIsOutweighedByASuccess() {
+        HealthEstimate estimate = HealthEstimate.initial(0);
         for (int i = 0; i < 10; i++) {
-            belief = belief.after(Observation.SUCCESS, 0);
+            estimate = estimate.after(Observation.SUCCESS, 0);
         }
-        HealthEstimate failedOnce = belief.after(Observation.FAILURE, 0);
+        HealthEstimate failedOnce = estimate.after(Observation.FAILURE, 0);
         assertThat(failedOnce.unhealthyProbabilityAt(0)).isLessThan(0.3);
         assertThat(failedOnce.after(Observation.SUCCESS, 0).isSuspected(0)).isFalse();
     }
 
     @Test
-    void twoFailuresOfAProvenServerMakeItSuspect() {
-        HealthEstimate belief = HealthEstimate.initial(0);
+    void twoFailuresOfAHealthyServerMakeItSuspected() {
+        HealthEstimate estimate = HealthEstimate.initial(0);
         for (int i = 0; i < 10; i++) {
-            belief = belief.after(Observation.SUCCESS, 0);
+            estimate = estimate.after(Observation.SUCCESS, 0);
         }
-        belief = belief.after(Observation.FAILURE, 0).after(Observation.FAILURE, 0);
-        assertThat(belief.isSuspected(0)).isTrue();
+        estimate = estimate.after(Observation.FAILURE, 0).after(Observation.FAILURE, 0);
+        assertThat(estimate.isSuspected(0)).isTrue();
     }
 
     @Test
-    void suspicionFadesWithoutObservations() {
-        HealthEstimate belief = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
-        assertThat(belief.unhealthyProbabilityAt(60 * SECOND)).isWithin(0.01).of(HealthEstimate.BASE_SICKNESS);
+    void probabilityReturnsToTheBaseWithoutObservations() {
+        HealthEstimate estimate = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
+        assertThat(estimate.unhealthyProbabilityAt(60 * SECOND)).isWithin(0.01).of(HealthEstimate.BASE_PROBABILITY);
     }
 
     @Test
-    void serverThatFailedIsNotWorthATryWhileASicknessLasts() {
-        HealthEstimate belief = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
-        assertThat(belief.allowsTrialRequest(9 * SECOND)).isFalse();
-        assertThat(belief.allowsTrialRequest(12 * SECOND)).isTrue();
+    void serverThatFailedAllowsNoTrialRequestWhileAGrayFailureLasts() {
+        HealthEstimate estimate = HealthEstimate.initial(0).after(Observation.FAILURE, 0);
+        assertThat(estimate.allowsTrialRequest(9 * SECOND)).isFalse();
+        assertThat(estimate.allowsTrialRequest(12 * SECOND)).isTrue();
     }
 
     @Test
-    void serverThatFailsTheTryIsLeftAloneAnew() {
-        HealthEstimate belief =
+    void failedTrialRequestStartsTheDelayAnew() {
+        HealthEstimate estimate =
                 HealthEstimate.initial(0).after(Observation.FAILURE, 0).after(Observation.FAILURE, 12 * SECOND);
-        assertThat(belief.allowsTrialRequest(20 * SECOND)).isFalse();
-        assertThat(belief.allowsTrialRequest(24 * SECOND)).isTrue();
+        assertThat(estimate.allowsTrialRequest(20 * SECOND)).isFalse();
+        assertThat(estimate.allowsTrialRequest(24 * SECOND)).isTrue();
     }
 
     @Test
-    void unknownAndProvenServersAreWorthATry() {
-        HealthEstimate unknown = HealthEstimate.initial(0);
-        assertThat(unknown.allowsTrialRequest(SECOND)).isTrue();
-        assertThat(unknown.after(Observation.SUCCESS, 0).allowsTrialRequest(60 * SECOND))
+    void serversWithoutObservationsAndHealthyOnesAllowTrialRequests() {
+        HealthEstimate unobserved = HealthEstimate.initial(0);
+        assertThat(unobserved.allowsTrialRequest(SECOND)).isTrue();
+        assertThat(unobserved.after(Observation.SUCCESS, 0).allowsTrialRequest(60 * SECOND))
                 .isTrue();
     }
 
     @Test
-    void successesOfASickServerRestoreTrustWithinAFewRequests() {
-        HealthEstimate belief = HealthEstimate.initial(0);
+    void successesEndTheSuspicionOfAServerWithinAFewRequests() {
+        HealthEstimate estimate = HealthEstimate.initial(0);
         for (int i = 0; i < 20; i++) {
-            belief = belief.after(Observation.FAILURE, 0);
+            estimate = estimate.after(Observation.FAILURE, 0);
         }
         for (int i = 0; i < 8; i++) {
-            belief = belief.after(Observation.SUCCESS, 0);
+            estimate = estimate.after(Observation.SUCCESS, 0);
         }
-        assertThat(belief.isSuspected(0)).isFalse();
+        assertThat(estimate.isSuspected(0)).isFalse();
     }
 
     @Test
-    void tableTellsNewsOnlyOfWhatOthersDoNotExpect() {
-        HealthEstimates table = new HealthEstimates();
-        assertThat(table.observe("s", Observation.SUCCESS, 0)).isTrue();
+    void onlyObservationsThatOthersDoNotExpectAreReported() {
+        HealthEstimates estimates = new HealthEstimates();
+        assertThat(estimates.observe("s", Observation.SUCCESS, 0)).isTrue();
         for (int i = 0; i < 5; i++) {
-            table.observe("s", Observation.SUCCESS, 0);
+            estimates.observe("s", Observation.SUCCESS, 0);
         }
-        assertThat(table.observe("s", Observation.SUCCESS, 0)).isFalse();
-        assertThat(table.observe("s", Observation.FAILURE, 0)).isTrue();
+        assertThat(estimates.observe("s", Observation.SUCCESS, 0)).isFalse();
+        assertThat(estimates.observe("s", Observation.FAILURE, 0)).isTrue();
     }
 }
