--- a/coppershelf/src/main/java/io/coppershelf/eventlog/EventLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/EventLog.java
@@ -2,17 +2,17 @@
 
 import java.util.Map;
 
-/** Takes the lines of the structured log. Never blocks. */
+/** The structured log. Writing to it never blocks. */
 @FunctionalInterface
 public interface EventLog {
-    /** A log that keeps nothing. */
+    /** A log that discards all lines. */
     EventLog NONE = (importance, event, fields) -> {};
 
-    /** Which lines are dropped first. */
+    /** The importance of a line, which decides which lines are dropped first. */
     enum Importance {
-        /** Dropped first: the normal course of requests. */
+        /** The normal course of requests; dropped first. */
         ROUTINE,
-        /** Failures, and changes of what this process believes. */
+        /** Failures, and changes of the state of this process. */
         IMPORTANT
     }
 
@@ -20,7 +20,7 @@
      * Writes a line.
      *
      * @param event the name of the event, such as {@code request-failed}
-     * @param fields what decided it, in order; text, numbers and booleans
+     * @param fields the values behind the event, in order; text, numbers and booleans
      */
     void write(Importance importance, String event, Map<String, Object> fields);
 
@@ -29,7 +29,7 @@
         write(Importance.ROUTINE, event, fields);
     }
 
-    /** Writes a line about a failure or a changed belief. */
+    /** Writes a line about a failure or a state change. */
     default void important(String event, Map<String, Object> fields) {
         write(Importance.IMPORTANT, event, fields);
     }
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/Fields.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/Fields.java
@@ -10,7 +10,7 @@
     /**
      * Returns the fields.
      *
-     * @param namesAndValues names and values in turn
+     * @param namesAndValues names and values alternately
      */
     public static Map<String, Object> of(Object... namesAndValues) {
         Map<String, Object> fields = new LinkedHashMap<>();
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
@@ -13,18 +13,18 @@
 
 /** Writes the log as JSON lines, from a bounded queue and at a bounded rate of routine lines. */
 public final class JsonEventLog implements EventLog {
-    /** Lines that wait at most; about 200 KB. */
+    /** Largest number of queued lines; about 200 KB. */
     private static final int QUEUE_LINES = 1024;
-    /** Routine lines are dropped when fewer places than this are free, so that important ones find one. */
+    /** Queue places reserved for important lines; routine lines are dropped when fewer places are free. */
     private static final int RESERVED_LINES = 512;
     /** Routine lines a second; above it they are sampled, which bounds the volume and the processor time. */
     private static final int ROUTINE_LINES_PER_SECOND = 20;
-    /** Important lines a second; a process in trouble repeats itself beyond this. */
+    /** Important lines a second; above it a failing process mostly repeats the same lines. */
     private static final int IMPORTANT_LINES_PER_SECOND = 200;
 
-    /** Lines are written together; each write costs a system call. */
+    /** Interval between writes; lines are written in batches, since each write costs a system call. */
     private static final long BATCH_MILLIS = 250;
-    /** Longest wait for the last lines. */
+    /** Longest wait for the last lines to be written. */
     private static final long CLOSE_MILLIS = 200;
 
     private final BlockingQueue<Line> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
@@ -40,7 +40,7 @@
     private JsonEventLog(OutputStream out, String vm) {
         this.out = out;
         this.vm = vm;
-        writer = new Thread(this::writeForever, "event-log");
+        writer = new Thread(this::writeUntilClosed, "event-log");
         writer.setDaemon(true);
     }
 
@@ -51,7 +51,7 @@
         return log;
     }
 
-    /** Writes the lines that wait, and ends the log; waits for it no longer than a moment. */
+    /** Writes the queued lines and ends the log; the wait for that is bounded. */
     public void close() throws InterruptedException {
         writer.interrupt();
         writer.join(CLOSE_MILLIS);
@@ -65,28 +65,28 @@
     @Override
     public void write(Importance importance, String event, Map<String, Object> fields) {
         boolean isRoutine = importance == Importance.ROUTINE;
-        boolean isRefused = isRoutine
+        boolean isDropped = isRoutine
                 ? queue.remainingCapacity() < RESERVED_LINES || !routineRate.tryAcquire()
                 : !importantRate.tryAcquire();
-        if (isRefused || !queue.offer(new Line(System.currentTimeMillis(), event, fields))) {
+        if (isDropped || !queue.offer(new Line(System.currentTimeMillis(), event, fields))) {
             dropped.incrementAndGet();
         }
     }
 
-    private void writeForever() {
+    private void writeUntilClosed() {
         try {
             while (true) {
                 writeBatch(queue.take());
                 TimeUnit.MILLISECONDS.sleep(BATCH_MILLIS);
             }
         } catch (InterruptedException e) {
-            writeRest();
+            writeQueued();
         } catch (IOException e) {
-            System.err.println("coppershelf: the event log ends, its output can't be written: " + e);
+            System.err.println("coppershelf: the event log has stopped, its output can't be written: " + e);
         }
     }
 
-    private void writeRest() {
+    private void writeQueued() {
         try {
             Line first = queue.poll();
             if (first != null) {
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimiter.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimiter.java
@@ -2,13 +2,13 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Allows a number of events in each second. */
+/** Allows a limited number of events in each second. */
 final class RateLimiter {
     private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final int perSecond;
     private long secondStartNanos = System.nanoTime();
-    private int taken;
+    private int acquired;
 
     RateLimiter(int perSecond) {
         this.perSecond = perSecond;
@@ -18,9 +18,9 @@
         long now = System.nanoTime();
         if (now - secondStartNanos >= SECOND_NANOS) {
             secondStartNanos = now;
-            taken = 0;
+            acquired = 0;
         }
-        taken++;
-        return taken <= perSecond;
+        acquired++;
+        return acquired <= perSecond;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Structured logs: one JSON line for each decision that touches a request or changes what this process believes. Lines
- * are written by a thread of their own; when it can't keep up, lines are dropped and counted, never waited for.
+ * Structured logs: one JSON line for each decision on a request and for each state change of this process. A dedicated
+ * thread writes the lines; when it can't keep up, lines are dropped and counted, and callers never wait.
  */
 package io.coppershelf.eventlog;
--- a/coppershelf/src/main/java/io/coppershelf/outcome/CoppershelfException.java
+++ b/coppershelf/src/main/java/io/coppershelf/outcome/CoppershelfException.java
@@ -1,6 +1,6 @@
 package io.coppershelf.outcome;
 
-/** The unchecked exception of coppershelf; its code is an {@link ErrorKind}. */
+/** The unchecked exception of coppershelf, which carries an {@link ErrorKind}. */
 public final class CoppershelfException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -16,12 +16,12 @@
         return new CoppershelfException(kind, message, null);
     }
 
-    /** Returns an exception of the given kind with the failure that led to it. */
+    /** Returns an exception of the given kind with its cause. */
     public static CoppershelfException causedBy(ErrorKind kind, String message, Throwable cause) {
         return new CoppershelfException(kind, message, cause);
     }
 
-    /** Returns the code. */
+    /** Returns the error kind. */
     public ErrorKind kind() {
         return kind;
     }
--- a/coppershelf/src/main/java/io/coppershelf/outcome/ErrorKind.java
+++ b/coppershelf/src/main/java/io/coppershelf/outcome/ErrorKind.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * The closed list of error kinds, with the table from kind to answer: HTTP status, outcome and the time after which a
- * retry is safe and sensible.
+ * The closed list of error kinds, with the answer to each: HTTP status, outcome and the time after which a retry is
+ * safe and useful.
  *
  * <p>Kinds that never reach a caller (settings, tickets, peers, platform) carry the status that the operator interface
  * uses.
@@ -62,12 +62,12 @@
         return status;
     }
 
-    /** Returns what the answer says about the execution. */
+    /** Returns the outcome that the answer states. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** Returns the default of the {@code Retry-After} header, empty where a retry is not advised. */
+    /** Returns the default of the {@code Retry-After} header, empty if a retry is not advised. */
     public Optional<Duration> retryAfter() {
         return Optional.ofNullable(retry.delay);
     }
--- a/coppershelf/src/main/java/io/coppershelf/outcome/Outcome.java
+++ b/coppershelf/src/main/java/io/coppershelf/outcome/Outcome.java
@@ -1,10 +1,10 @@
 package io.coppershelf.outcome;
 
-/** What is known about the execution of a request when its answer goes out. */
+/** What is known about the execution of a request when it is answered. */
 public enum Outcome {
     /** The backend server ran the request. */
     RUN("run"),
-    /** The request was not run, which is proved. */
+    /** The request has provably not been run. */
     NOT_RUN("not-run"),
     /** The request may or may not have been run. */
     UNKNOWN("unknown");
--- a/coppershelf/src/test/java/io/coppershelf/eventlog/JsonEventLogTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/eventlog/JsonEventLogTest.java
@@ -25,11 +25,11 @@
                         + "\"known\":true,\"count\":3}");
     }
 
-    /** Pattern: the reader of the log stalls while the VM is flooded; requests must not wait for it. */
+    /** Scenario: the reader of the log stalls while the VM is flooded with requests; requests must not wait for it. */
     @Test
-    void floodIntoASinkThatDoesNotReadIsDroppedAndCounted() throws InterruptedException {
+    void floodIntoABlockedStreamIsDroppedAndCounted() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
-        JsonEventLog log = JsonEventLog.start(new StuckStream(blocked), "vm-1");
+        JsonEventLog log = JsonEventLog.start(new BlockedStream(blocked), "vm-1");
         log.important("first", Fields.of());
         blocked.await();
         for (int i = 0; i < FLOOD; i++) {
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void failuresFindAPlaceWhenRoutineLinesAreDropped() throws InterruptedException {
+    void failuresAreLoggedWhenRoutineLinesAreDropped() throws InterruptedException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         JsonEventLog log = JsonEventLog.start(out, "vm-1");
         for (int i = 0; i < FLOOD; i++) {
@@ -51,11 +51,11 @@
     }
 
     /** Never returns from a write. */
-    private static final class StuckStream extends OutputStream {
+    private static final class BlockedStream extends OutputStream {
         private final CountDownLatch blocked;
         private final CountDownLatch never = new CountDownLatch(1);
 
-        StuckStream(CountDownLatch blocked) {
+        BlockedStream(CountDownLatch blocked) {
             this.blocked = blocked;
         }
 
