--- a/coppershelf/src/main/java/io/coppershelf/catalog/BackendServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/BackendServer.java
@@ -3,34 +3,34 @@
 import java.net.InetSocketAddress;
 
 /**
- * A backend server as it reported itself.
+ * A backend server, as described in its own report to the platform.
  *
  * @param id the id of the server
- * @param bornMillis when this incarnation started, in milliseconds since 1970
+ * @param startedMillis when this incarnation started, in milliseconds since 1970
  * @param service the service that it belongs to
  * @param address where it accepts requests
  * @param dataCentre the data centre in which it runs
- * @param slots how many requests it runs at a time
- * @param isAccepting whether it takes new requests; false while it drains
- * @param coldMillis how much longer it stays slow after its start, from the time of the report
+ * @param slots the number of requests that it runs at a time
+ * @param isAccepting whether it accepts new requests; false while it drains
+ * @param coldMillis the remaining time for which it is slow after its start, counted from the report, in milliseconds
  */
 public record BackendServer(
         String id,
-        long bornMillis,
+        long startedMillis,
         String service,
         InetSocketAddress address,
         String dataCentre,
         int slots,
         boolean isAccepting,
         long coldMillis) {
-    /** Returns the key of this incarnation in beliefs and in messages between VMs. */
+    /** Returns the key of this incarnation in health estimates and in messages between VMs. */
     public String key() {
-        return id + '@' + bornMillis;
+        return id + '@' + startedMillis;
     }
 
-    /** Returns whether both are the same incarnation, whatever else they report. */
+    /** Returns whether both reports are of the same incarnation; other differences are ignored. */
     public boolean isSameIncarnation(BackendServer other) {
-        return id.equals(other.id) && bornMillis == other.bornMillis && address.equals(other.address);
+        return id.equals(other.id) && startedMillis == other.startedMillis && address.equals(other.address);
     }
 
     /** Returns whether the server is still slow after its start. */
@@ -38,7 +38,7 @@
         return coldMillis > 0;
     }
 
-    /** Returns whether a fleet member needs to hear of the difference between the two reports. */
+    /** Returns whether the reports agree in everything that other VMs need for routing. */
     public boolean isSameForRouting(BackendServer other) {
         return isSameIncarnation(other)
                 && service.equals(other.service)
--- a/coppershelf/src/main/java/io/coppershelf/catalog/Catalog.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/Catalog.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * What is in force on this VM.
+ * The configuration and the backend servers in force on this VM.
  *
  * @param configuration the newest configuration, empty until one was read
  * @param servers the newest list of servers
  */
 public record Catalog(Optional<FleetConfiguration> configuration, ServerList servers) {
-    /** Nothing is known. */
+    /** The catalog before the first reading. */
     public static final Catalog EMPTY = new Catalog(Optional.empty(), ServerList.EMPTY);
 
     /** Returns this catalog with the configuration, unless a newer one is already in force. */
--- a/coppershelf/src/main/java/io/coppershelf/catalog/CatalogChange.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/CatalogChange.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * What a reading of the platform brought.
+ * The result of a reading of the platform.
  *
  * @param since the revision that the changes follow, 0 for a complete reading
  * @param revision the revision that the reading reached
  * @param configuration the configuration, if it was read or has changed
- * @param changed servers that are new or report something else
- * @param removed the ids of servers that are not registered any more
+ * @param changed servers that are new or whose report has changed
+ * @param removed the ids of servers that are no longer registered
  */
 public record CatalogChange(
         long since,
@@ -27,7 +27,7 @@
         removed = Set.copyOf(removed);
     }
 
-    /** Returns a complete reading with that result. */
+    /** Returns the result of a complete reading. */
     public static CatalogChange complete(ServerList servers, Optional<FleetConfiguration> configuration) {
         return new CatalogChange(0, servers.revision(), configuration, List.copyOf(servers.all()), Set.of());
     }
@@ -37,7 +37,7 @@
         return since == 0 || listRevision >= since;
     }
 
-    /** Returns the list after the change; the list must not be newer than the change. */
+    /** Returns the list with the change applied; the list must not be newer than the change. */
     public ServerList applyTo(ServerList list) {
         Map<String, BackendServer> servers = new HashMap<>();
         if (since > 0) {
--- a/coppershelf/src/main/java/io/coppershelf/catalog/CatalogReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/CatalogReader.java
@@ -3,24 +3,27 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Reads what the platform publishes. All calls return at once; results come on the control thread. */
+/**
+ * Reads the configuration and the servers that the platform publishes. Calls don't block; results are delivered on the
+ * control thread.
+ */
 public interface CatalogReader {
     /** Why a reading failed. */
     enum Failure {
         /** The platform no longer has the changes since the given revision; a complete reading is needed. */
         HISTORY_LOST,
-        /** No valid answer in time. */
+        /** There was no valid answer in time. */
         UNAVAILABLE,
-        /** What was read is older than what was asked for. */
+        /** The configuration that was read is older than the requested revision. */
         TOO_OLD
     }
 
-    /** Hears of the result of one reading. */
+    /** Receives the result of one reading. */
     interface Listener {
-        /** The reading succeeded. */
+        /** Called when the reading has succeeded. */
         void readSucceeded(CatalogChange change);
 
-        /** The reading failed. */
+        /** Called when the reading has failed. */
         void readFailed(Failure failure, String reason);
     }
 
@@ -28,16 +31,17 @@
     void readAll(Listener listener);
 
     /**
-     * Reads what has changed after a revision.
+     * Reads the changes after a revision.
      *
-     * @param wait how long the platform waits for a change
+     * @param wait the longest time that the platform waits for a change
      */
     void readChanges(long revision, Duration wait, Listener listener);
 
     /**
-     * Reads the configuration alone, from a replica that may lag.
+     * Reads the configuration alone. The reading may come from a replica that lags.
      *
-     * @param revision the revision that is known to be published; an older one counts as {@link Failure#TOO_OLD}
+     * @param revision the revision that is known to be published; a reading of an older one fails as
+     *     {@link Failure#TOO_OLD}
      */
     void readConfigurationAllowingStale(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure);
 }
--- a/coppershelf/src/main/java/io/coppershelf/catalog/FleetConfiguration.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/FleetConfiguration.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * The configuration of the operator.
+ * The configuration that the operator has published.
  *
- * @param revision the revision at which it was published; a higher one wins
- * @param version the version that the operator gave it
+ * @param revision the revision of the platform at which it was published; the highest one is in force
+ * @param version the version that the operator assigned to it
  * @param routes all routes
- * @param connectionCaps the connections that a server of each service accepts from the whole fleet
+ * @param connectionCaps the largest number of connections that a server of each service accepts from the whole fleet
  * @param limits the limits for callers
  */
 public record FleetConfiguration(
--- a/coppershelf/src/main/java/io/coppershelf/catalog/RequestKind.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/RequestKind.java
@@ -1,6 +1,6 @@
 package io.coppershelf.catalog;
 
-/** What a request of a route may do when its outcome is unknown. */
+/** Whether the requests of a route may run more than once, which decides on retries after an unknown outcome. */
 public enum RequestKind {
     /** May run more than once. */
     REPEATABLE,
@@ -9,7 +9,7 @@
     /** May run more than once and has a large answer. */
     LARGE_ANSWER;
 
-    /** Returns whether a request may be sent again after it may have run. */
+    /** Returns whether a request may be retried although it may already have run. */
     public boolean isRepeatable() {
         return this != ONCE;
     }
--- a/coppershelf/src/main/java/io/coppershelf/catalog/Route.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/Route.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * A route: which requests it takes, where they go and how long they may last.
+ * A route: which requests it matches, which services they are sent to and how long they may take.
  *
  * @param name the name
- * @param host the host that callers ask for, in lower case and without a port
- * @param pathPrefix the beginning of the path; starts and ends with a slash
- * @param kind what a request may do when its outcome is unknown
- * @param timeout the longest time that a caller is kept waiting
- * @param objective the time within which an answer has its full worth
+ * @param host the host in the requests of callers, in lower case and without a port
+ * @param pathPrefix the prefix of the path; starts and ends with a slash
+ * @param kind whether a request may run more than once
+ * @param timeout the longest time until a caller gets an answer
+ * @param objective the time within which an answer has its full value
  * @param rank the urgency, 0 is the most urgent
- * @param maxServers how many servers a request may be sent to
+ * @param maxServers the largest number of servers that a request may be sent to
  * @param weightedServices the services that share the requests, at least one
  */
 public record Route(
@@ -26,7 +26,7 @@
         int rank,
         int maxServers,
         List<WeightedService> weightedServices) {
-    /** Copies the parts. */
+    /** Copies the list. */
     public Route {
         weightedServices = List.copyOf(weightedServices);
     }
--- a/coppershelf/src/main/java/io/coppershelf/catalog/ServerList.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/ServerList.java
@@ -9,7 +9,7 @@
 
 /** The backend servers that are registered at one revision of the platform. Immutable. */
 public final class ServerList {
-    /** No server, before the first reading. */
+    /** The empty list before the first reading. */
     public static final ServerList EMPTY = new ServerList(0, Map.of());
 
     private final long revision;
@@ -42,12 +42,12 @@
         return revision;
     }
 
-    /** Returns all servers, also those that drain. */
+    /** Returns all servers, including those that drain. */
     public Collection<BackendServer> all() {
         return byId.values();
     }
 
-    /** Returns the servers of a service that take new requests. */
+    /** Returns the servers of a service that accept new requests. */
     public List<BackendServer> accepting(String service) {
         return acceptingByService.getOrDefault(service, List.of());
     }
--- a/coppershelf/src/main/java/io/coppershelf/catalog/WeightedService.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/WeightedService.java
@@ -1,9 +1,9 @@
 package io.coppershelf.catalog;
 
 /**
- * A share of the requests of a route.
+ * A service that receives a share of the requests of a route.
  *
- * @param service the name of the service that gets the share
- * @param weight the share in proportion to the weights of the other parts, not negative
+ * @param service the name of the service
+ * @param weight the share in proportion to the weights of the other services of the route, not negative
  */
 public record WeightedService(String service, double weight) {}
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/AttemptAllocator.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/AttemptAllocator.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Chooses servers for one request. */
+/** Allocates servers and retry budget to the attempts of one request. */
 public interface AttemptAllocator {
     /**
      * Returns the best server whose id is not excluded.
      *
-     * @param isLastChance whether the request can't be sent again if the server fails it
+     * @param isLastAttempt whether the request can't be retried if the server fails it
      */
-    Optional<BackendServer> choose(Set<String> excluded, boolean isLastChance);
+    Optional<BackendServer> choose(Set<String> excluded, boolean isLastAttempt);
 
-    /** Returns whether the budget of the service has a repeat left. */
+    /** Returns whether the retry budget of the service has a retry left. */
     boolean canRetry();
 
-    /** Takes one repeat from the budget of the service; returns whether it had any left. */
+    /** Takes one retry from the retry budget of the service; returns whether any was left. */
     boolean tryAcquireRetry();
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ChoiceInputs.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ChoiceInputs.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * What the choice of a server went by.
+ * The inputs to the choice of a server, for the log.
  *
- * @param unhealthyProbability the probability that the server is sick
+ * @param unhealthyProbability the probability that the server is unhealthy
  * @param observationAge the time since the last observation of the server
- * @param busy the requests that the server was thought to have
+ * @param load the estimated number of requests that the server had, in flight or queued
  */
-public record ChoiceInputs(double unhealthyProbability, Duration observationAge, double busy) {}
+public record ChoiceInputs(double unhealthyProbability, Duration observationAge, double load) {}
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/FleetLoad.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/FleetLoad.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The requests that other VMs have at each server, as they tell it. Where many VMs send few requests each to servers
- * with few slots, neither own requests nor the load in the last answer tell how full a server is now. One thread
- * changes it; any thread reads.
+ * The numbers of requests that other VMs have in flight at each server, as the VMs report them. Where many VMs send few
+ * requests each to servers with few slots, neither the requests of this VM nor the load in the last answer show how
+ * full a server is now. One thread writes; any thread reads.
  */
 public final class FleetLoad {
-    /** Time after which a count that was not repeated is forgotten; its VM repeats it more often. */
+    /** Time after which a count that was not repeated is discarded; its VM repeats it more often. */
     static final long EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private final Map<Long, Map<Object, Count>> countsByServer = new HashMap<>();
     private final Map<Long, Integer> totals = new ConcurrentHashMap<>();
 
-    /** Returns the number that stands for a server in messages. */
+    /** Returns the 64-bit hash that identifies a server in messages. */
     public static long codeOf(String serverKey) {
         long code = 1125899906842597L;
         for (int i = 0; i < serverKey.length(); i++) {
@@ -27,25 +27,25 @@
     }
 
     /**
-     * Takes the number of requests that a VM has at a server.
+     * Records the number of requests that a VM has in flight at a server.
      *
-     * @param vm anything that stands for the VM
-     * @return whether it has more than before, so that it has sent one
+     * @param vm any key that identifies the VM
+     * @return whether the number has grown, so that the VM has sent a request
      */
     public boolean recordInFlight(Object vm, long serverCode, int inFlight, long nowNanos) {
         Map<Object, Count> counts = countsByServer.computeIfAbsent(serverCode, code -> new HashMap<>());
         Count before = counts.get(vm);
-        boolean hasMore = inFlight > (before == null ? 0 : before.inFlight);
+        boolean hasGrown = inFlight > (before == null ? 0 : before.inFlight);
         if (inFlight > 0) {
             counts.put(vm, new Count(inFlight, nowNanos));
         } else {
             counts.remove(vm);
         }
         update(serverCode, counts);
-        return hasMore;
+        return hasGrown;
     }
 
-    /** Forgets counts that were not repeated in time. */
+    /** Discards counts that were not repeated in time. */
     public void expire(long nowNanos) {
         countsByServer.forEach((code, counts) -> {
             if (counts.values().removeIf(count -> nowNanos - count.atNanos > EXPIRY_NANOS)) {
@@ -55,7 +55,7 @@
         countsByServer.values().removeIf(Map::isEmpty);
     }
 
-    /** Returns the requests that other VMs have at a server. */
+    /** Returns the number of requests that other VMs have in flight at a server. */
     public int inFlightOfOthers(long serverCode) {
         return totals.getOrDefault(serverCode, 0);
     }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/FleetRetryBudget.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/FleetRetryBudget.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * Limits how often requests of a service are sent once more. Each VM takes its share of the limit of the fleet: the
- * ratio applies to the requests that it took itself, and the fixed part is divided by the number of VMs. The shares add
- * up to less than the limit, also while the views of the membership differ somewhat. Not safe for several threads.
+ * Limits the retries for each service to this VM's share of a limit for the whole fleet: the ratio applies to the
+ * requests that this VM received itself, and the fixed part is divided by the number of VMs. The shares add up to less
+ * than the limit of the fleet, even while the VMs' views of the membership differ somewhat. Not thread-safe.
  */
 public final class FleetRetryBudget {
-    /** The part of the fleet's limit that is used; the rest covers VMs that see fewer peers than there are. */
+    /** Share of the fleet's limit that is used; the rest covers VMs that see fewer peers than there are. */
     private static final double USED_SHARE = 0.8;
-    /** The number of buckets of a window; the window slides by one bucket. */
+    /** Number of buckets of a window; the window slides by one bucket at a time. */
     private static final int BUCKETS = 10;
 
     private final double ratio;
@@ -23,8 +23,8 @@
     /**
      * Creates an unused budget.
      *
-     * @param ratio repeats for each request
-     * @param fixedPerWindow repeats of the whole fleet in each window besides
+     * @param ratio retries for each request
+     * @param fixedPerWindow additional retries of the whole fleet in each window
      * @param window the length of the window
      */
     public FleetRetryBudget(double ratio, double fixedPerWindow, Duration window) {
@@ -33,34 +33,34 @@
         bucketNanos = window.toNanos() / BUCKETS;
     }
 
-    /** Counts a request that a caller sent. */
+    /** Counts a request of a caller. */
     public void countRequest(String service, long nowNanos) {
         usage(service, nowNanos).requests[BUCKETS - 1]++;
     }
 
     /**
-     * Takes one repeat from the budget if it has any left.
+     * Takes one retry from the budget if any is left.
      *
-     * @param fleetSize the number of VMs that take requests
-     * @return whether the request may be sent once more
+     * @param fleetSize the number of VMs that serve callers
+     * @return whether the request may be retried
      */
     public boolean tryAcquire(String service, int fleetSize, long nowNanos) {
         if (!canAcquire(service, fleetSize, nowNanos)) {
             return false;
         }
-        usage(service, nowNanos).repeats[BUCKETS - 1]++;
+        usage(service, nowNanos).retries[BUCKETS - 1]++;
         return true;
     }
 
     /**
-     * Returns whether a request may be sent once more, without taking the repeat.
+     * Returns whether a request may be retried, without taking the retry.
      *
-     * @param fleetSize the number of VMs that take requests
+     * @param fleetSize the number of VMs that serve callers
      */
     public boolean canAcquire(String service, int fleetSize, long nowNanos) {
         Usage usage = usage(service, nowNanos);
         double limit = USED_SHARE * (ratio * sum(usage.requests) + fixedPerWindow / Math.max(1, fleetSize));
-        return sum(usage.repeats) + 1 <= limit;
+        return sum(usage.retries) + 1 <= limit;
     }
 
     private Usage usage(String service, long nowNanos) {
@@ -80,7 +80,7 @@
     /** The counts of one service; the last bucket is the current one. */
     private static final class Usage {
         private final int[] requests = new int[BUCKETS];
-        private final int[] repeats = new int[BUCKETS];
+        private final int[] retries = new int[BUCKETS];
         private long bucketStartNanos;
 
         Usage(long nowNanos) {
@@ -91,9 +91,9 @@
             long passed = Math.min(BUCKETS, (nowNanos - bucketStartNanos) / bucketNanos);
             for (long i = 0; i < passed; i++) {
                 System.arraycopy(requests, 1, requests, 0, BUCKETS - 1);
-                System.arraycopy(repeats, 1, repeats, 0, BUCKETS - 1);
+                System.arraycopy(retries, 1, retries, 0, BUCKETS - 1);
                 requests[BUCKETS - 1] = 0;
-                repeats[BUCKETS - 1] = 0;
+                retries[BUCKETS - 1] = 0;
             }
             if (passed > 0) {
                 bucketStartNanos = nowNanos - (nowNanos - bucketStartNanos) % bucketNanos;
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/IdleServerTracker.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/IdleServerTracker.java
@@ -8,51 +8,54 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Keeps servers in use: nearly all servers of a service that are not suspected have a request every other second, so
- * that no sound server stays idle while others fail or are lost, and a server that has recovered is found. Which server
- * had a request last is noted for the whole fleet. One thread changes it; any thread reads.
+ * Finds servers that have had no request for some time. Nearly all servers of a service that are not suspected get a
+ * request every two seconds, so that no healthy server stays idle while others fail or are lost, and the recovery of a
+ * server is detected. Requests of all VMs count. One thread writes; any thread reads.
  */
 public final class IdleServerTracker {
-    /** The share of the servers that stay in use; above the floor of seven tenths, as some of them may be down. */
+    /** Share of the servers that stay in use; above the floor of seven tenths, since some of them may be down. */
     private static final double USED_SHARE = 0.85;
     /**
-     * A server counts as unused after this time for a request that may be sent again; within the two seconds over which
-     * the floor is counted.
+     * Time without a request after which a server is idle for a request that can be retried; shorter than the two
+     * seconds over which the floor is measured.
      */
-    private static final long UNUSED_NANOS = TimeUnit.MILLISECONDS.toNanos(1300);
-    /** The same for one that may not; a repeatable request usually came first. */
-    private static final long UNUSED_FOR_LAST_CHANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1700);
+    private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(1300);
+    /**
+     * The same time for a request that can't be retried; longer, so that usually a request that can be retried comes
+     * first.
+     */
+    private static final long IDLE_FOR_LAST_ATTEMPT_NANOS = TimeUnit.MILLISECONDS.toNanos(1700);
 
-    private final Map<Long, Long> beganNanos = new ConcurrentHashMap<>();
+    private final Map<Long, Long> lastRequestNanos = new ConcurrentHashMap<>();
 
-    /** Notes a request that was sent to a server by any VM. */
+    /** Records that some VM sent a request to a server. */
     public void recordRequest(long serverCode, long nowNanos) {
-        beganNanos.put(serverCode, nowNanos);
+        lastRequestNanos.put(serverCode, nowNanos);
     }
 
-    /** Forgets all servers but the given ones. */
+    /** Removes all servers but the given ones. */
     public void retain(Set<Long> serverCodes) {
-        beganNanos.keySet().retainAll(serverCodes);
+        lastRequestNanos.keySet().retainAll(serverCodes);
     }
 
     /**
-     * Returns the servers among which the next request has to choose to keep the floor; empty if it is kept.
+     * Returns the idle servers, one of which has to get the next request to keep the floor; empty if the floor is kept.
      *
-     * @param servers the servers of the service that take requests and are not suspected
-     * @param codes returns the number that stands for a server in messages
-     * @param isLastChance whether the request can't be sent again if the server fails it
+     * @param servers the servers of the service that accept requests and are not suspected
+     * @param codes returns the hash that identifies a server in messages
+     * @param isLastAttempt whether the request can't be retried if the server fails it
      */
-    public <S> List<S> idleServers(List<S> servers, ToLongFunction<S> codes, boolean isLastChance, long nowNanos) {
-        long limitNanos = isLastChance ? UNUSED_FOR_LAST_CHANCE_NANOS : UNUSED_NANOS;
-        List<S> unused = servers.stream()
-                .filter(server -> isUnused(codes.applyAsLong(server), limitNanos, nowNanos))
+    public <S> List<S> idleServers(List<S> servers, ToLongFunction<S> codes, boolean isLastAttempt, long nowNanos) {
+        long limitNanos = isLastAttempt ? IDLE_FOR_LAST_ATTEMPT_NANOS : IDLE_NANOS;
+        List<S> idle = servers.stream()
+                .filter(server -> isIdle(codes.applyAsLong(server), limitNanos, nowNanos))
                 .toList();
-        boolean isFloorKept = unused.size() <= (1 - USED_SHARE) * servers.size();
-        return isFloorKept ? List.of() : unused;
+        boolean isFloorKept = idle.size() <= (1 - USED_SHARE) * servers.size();
+        return isFloorKept ? List.of() : idle;
     }
 
-    private boolean isUnused(long serverCode, long limitNanos, long nowNanos) {
-        Long began = beganNanos.get(serverCode);
-        return began == null || nowNanos - began > limitNanos;
+    private boolean isIdle(long serverCode, long limitNanos, long nowNanos) {
+        Long lastRequest = lastRequestNanos.get(serverCode);
+        return lastRequest == null || nowNanos - lastRequest > limitNanos;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/PlanStep.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/PlanStep.java
@@ -5,26 +5,26 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What to do next with a request. */
+/** The next step of a request. */
 public sealed interface PlanStep {
     /**
-     * Send it to a server.
+     * Sends the request to a server.
      *
      * @param attempt the number of the attempt, from 0
-     * @param reason why, for the log
+     * @param reason the reason for the attempt, for the log
      */
     record Send(int attempt, BackendServer server, String reason) implements PlanStep {}
 
-    /** Give the answer of this attempt to the caller, and cancel the others. */
+    /** Delivers the answer of this attempt to the caller and cancels the other attempts. */
     record Deliver(int attempt) implements PlanStep {}
 
     /**
-     * Answer the caller with an error, and cancel all attempts.
+     * Answers the caller with an error and cancels all attempts.
      *
-     * @param retryAfter when the caller may come back, empty if that is not advised
+     * @param retryAfter the time after which the caller may retry, empty if a retry is not advised
      */
     record Fail(ErrorKind kind, String reason, Optional<Duration> retryAfter) implements PlanStep {}
 
-    /** The server of this attempt is much slower than usual. */
+    /** Reports that the server of this attempt is much slower than typical. */
     record ReportStall(int attempt) implements PlanStep {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 
 /**
- * The course of one request: events in, steps out. A request that must run at most once is sent again only after proof
- * that it has not run; an answer that says so is given only when that holds for every attempt. Not safe for several
- * threads.
+ * The state machine of one request: events in, steps out. A request that must run at most once is retried only after
+ * proof that it has not run, and it fails with the outcome not-run only if that is proved for every attempt. Not
+ * thread-safe.
  */
 public final class RequestPlan {
-    /** When a caller may come back after a refusal; servers that are full free slots within this time. */
+    /** Time after which a caller may retry after a refusal; full servers free slots within it. */
     static final Duration SHORT_RETRY_AFTER = Duration.ofMillis(400);
-    /** When a caller may come back if no server is known or reachable. */
+    /** Time after which a caller may retry if no server is known or reachable. */
     static final Duration LONG_RETRY_AFTER = Duration.ofSeconds(1);
-    /** Failed connection attempts after which a request is given up; each takes up to the connection timeout. */
+    /** Failed connection attempts after which a request fails; each takes up to the connection timeout. */
     private static final int MAX_CONNECTION_FAILURES = 4;
 
     private enum AttemptState {
@@ -32,7 +32,7 @@
     }
 
     private final Route route;
-    private final AttemptAllocator choice;
+    private final AttemptAllocator allocator;
     private final long deadlineNanos;
     private final long slowNanos;
     private final long stallNanos;
@@ -43,43 +43,43 @@
     /**
      * Creates the plan of a request that has just been read.
      *
-     * @param deadlineNanos when the caller has to have an answer
-     * @param latency the usual times of the route
+     * @param deadlineNanos the monotonic time by which the caller must have an answer
+     * @param latency the typical latency of the route
      */
-    public RequestPlan(Route route, AttemptAllocator choice, long deadlineNanos, TypicalLatency latency) {
+    public RequestPlan(Route route, AttemptAllocator allocator, long deadlineNanos, TypicalLatency latency) {
         this.route = route;
-        this.choice = choice;
+        this.allocator = allocator;
         this.deadlineNanos = deadlineNanos;
         slowNanos = latency.slowNanos(route.objective());
         stallNanos = latency.stallNanos(route.objective());
     }
 
-    /** The request is to be sent for the first time. */
+    /** Starts the first attempt. */
     public List<PlanStep> start(long nowNanos) {
         return sendOrEnd("first", nowNanos);
     }
 
-    /** No connection could be established, so the server has seen nothing of the request. */
+    /** Handles an attempt without a connection: the server has received nothing of the request. */
     public List<PlanStep> notSent(int attempt, long nowNanos) {
-        return ended(attempt, AttemptState.NOT_SENT, nowNanos);
+        return attemptEnded(attempt, AttemptState.NOT_SENT, nowNanos);
     }
 
-    /** The server refused the request and stated that it has not run and will not. */
+    /** Handles a refusal in which the server states that the request has not run and will not. */
     public List<PlanStep> notRun(int attempt, long nowNanos) {
-        return ended(attempt, AttemptState.NOT_RUN, nowNanos);
+        return attemptEnded(attempt, AttemptState.NOT_RUN, nowNanos);
     }
 
-    /** The connection ended or brought no valid answer; the request may have run. */
+    /** Handles an attempt whose connection ended or delivered no valid answer; the request may have run. */
     public List<PlanStep> lost(int attempt, long nowNanos) {
-        return ended(attempt, AttemptState.LOST, nowNanos);
+        return attemptEnded(attempt, AttemptState.LOST, nowNanos);
     }
 
-    /** The server answered with a failure of its own. */
+    /** Handles an answer that reports a failure of the server. */
     public List<PlanStep> failed(int attempt, long nowNanos) {
-        return ended(attempt, AttemptState.FAILED, nowNanos);
+        return attemptEnded(attempt, AttemptState.FAILED, nowNanos);
     }
 
-    /** The server answered, and the answer is no failure. */
+    /** Handles an answer that is not a failure. */
     public List<PlanStep> answered(int attempt) {
         if (isEnded) {
             return List.of();
@@ -88,7 +88,7 @@
         return List.of(new PlanStep.Deliver(attempt));
     }
 
-    /** The time {@link #nextTimer} was reached. */
+    /** Handles the expiry of the timer set for {@link #nextTimer}. */
     public List<PlanStep> timerExpired(long nowNanos) {
         if (isEnded) {
             return List.of();
@@ -106,12 +106,12 @@
         }
         if (isHedgeDue(nowNanos)) {
             attempts.get(attempts.size() - 1).isHedged = true;
-            repeat("slow", nowNanos).ifPresent(steps::add);
+            nextAttempt("slow", nowNanos).ifPresent(steps::add);
         }
         return steps;
     }
 
-    /** Returns when {@link #timerExpired} is to be called next. */
+    /** Returns when {@link #timerExpired} has to be called next. */
     public long nextTimer(long nowNanos) {
         long next = deadlineNanos;
         for (Attempt attempt : attempts) {
@@ -128,7 +128,7 @@
         return next;
     }
 
-    /** Returns how many servers the request was sent to. */
+    /** Returns the number of servers that the request was sent to. */
     public int serversReached() {
         return (int) attempts.stream()
                 .filter(attempt -> attempt.state != AttemptState.NOT_SENT)
@@ -140,23 +140,23 @@
             return false;
         }
         Attempt last = attempts.get(attempts.size() - 1);
-        return running() == 1
+        return runningAttempts() == 1
                 && last.state == AttemptState.RUNNING
                 && !last.isHedged
                 && last.age(nowNanos) >= slowNanos;
     }
 
-    private List<PlanStep> ended(int number, AttemptState state, long nowNanos) {
+    private List<PlanStep> attemptEnded(int number, AttemptState state, long nowNanos) {
         Attempt attempt = attempts.get(number);
         if (isEnded || attempt.state != AttemptState.RUNNING) {
             return List.of();
         }
         attempt.state = state;
-        if (running() > 0) {
+        if (runningAttempts() > 0) {
             return List.of();
         }
-        boolean isFree = state == AttemptState.NOT_SENT || state == AttemptState.NOT_RUN;
-        if (!isFree && !route.kind().isRepeatable()) {
+        boolean isProvedNotRun = state == AttemptState.NOT_SENT || state == AttemptState.NOT_RUN;
+        if (!isProvedNotRun && !route.kind().isRepeatable()) {
             return end(nowNanos);
         }
         return sendOrEnd(state == AttemptState.NOT_SENT ? "no-connection" : "failed", nowNanos);
@@ -166,16 +166,16 @@
         if (nowNanos - deadlineNanos >= 0) {
             return end(nowNanos);
         }
-        return repeat(reason, nowNanos).map(List::of).orElseGet(() -> end(nowNanos));
+        return nextAttempt(reason, nowNanos).map(List::of).orElseGet(() -> end(nowNanos));
     }
 
-    private Optional<PlanStep> repeat(String reason, long nowNanos) {
+    private Optional<PlanStep> nextAttempt(String reason, long nowNanos) {
         int reached = serversReached();
         if (reached >= route.maxServers() || attempts.size() - reached >= MAX_CONNECTION_FAILURES) {
             return Optional.empty();
         }
-        Optional<BackendServer> server = choice.choose(usedServers, isLastChance(reached));
-        if (server.isEmpty() || (reached > 0 && !choice.tryAcquireRetry())) {
+        Optional<BackendServer> server = allocator.choose(usedServers, isLastAttempt(reached));
+        if (server.isEmpty() || (reached > 0 && !allocator.tryAcquireRetry())) {
             return Optional.empty();
         }
         usedServers.add(server.get().id());
@@ -183,11 +183,14 @@
         return Optional.of(new PlanStep.Send(attempts.size() - 1, server.get(), reason));
     }
 
-    private boolean isLastChance(int reached) {
-        return !route.kind().isRepeatable() || reached + 1 >= route.maxServers() || !choice.canRetry();
+    private boolean isLastAttempt(int reached) {
+        return !route.kind().isRepeatable() || reached + 1 >= route.maxServers() || !allocator.canRetry();
     }
 
-    /** Ends the request with the best answer that is true. */
+    /**
+     * Ends the request with the failure answer of a server if there is one, or else with an error whose outcome holds
+     * for all attempts.
+     */
     private List<PlanStep> end(long nowNanos) {
         isEnded = true;
         for (int i = 0; i < attempts.size(); i++) {
@@ -213,7 +216,7 @@
         return new PlanStep.Fail(ErrorKind.NO_SERVER, "no server could be reached", Optional.of(LONG_RETRY_AFTER));
     }
 
-    private long running() {
+    private long runningAttempts() {
         return attempts.stream()
                 .filter(attempt -> attempt.state == AttemptState.RUNNING)
                 .count();
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerStats.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerStats.java
@@ -3,47 +3,47 @@
 import io.coppershelf.catalog.BackendServer;
 import java.util.concurrent.TimeUnit;
 
-/** What this VM knows of the load of one server and of the path to it. Not safe for several threads. */
+/** The statistics of this VM on one server: its load and the network path to it. Not thread-safe. */
 public final class ServerStats {
-    /** How long a reported load is of any worth; requests last some hundred milliseconds. */
-    private static final double REPORT_LIFE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
-    /** First time for which a server is avoided after a failed connection attempt. */
-    private static final long SHORTEST_AVOIDANCE_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** Longest such time; it doubles with each failure in a row. */
-    private static final long LONGEST_AVOIDANCE_NANOS = TimeUnit.SECONDS.toNanos(8);
+    /** Time constant with which a reported load decays; requests last some hundred milliseconds. */
+    private static final double REPORT_DECAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    /** Backoff after a first failed connection attempt. */
+    private static final long MIN_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Longest backoff; it doubles with each consecutive failure. */
+    private static final long MAX_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(8);
 
-    private final long bornMillis;
+    private final long startedMillis;
     private final String key;
     private final long code;
     private int inFlight;
-    private int reportedBusy;
+    private int reportedLoad;
     private long reportedAtNanos;
     private boolean hasReport;
-    private long avoidUntilNanos;
-    private int failuresInRow;
+    private long backoffUntilNanos;
+    private int consecutiveFailures;
 
     ServerStats(BackendServer server) {
-        bornMillis = server.bornMillis();
+        startedMillis = server.startedMillis();
         key = server.key();
         code = FleetLoad.codeOf(key);
     }
 
-    /** Returns whether this is the use of the incarnation of the server with the same id. */
+    /** Returns whether these are the statistics of this incarnation of the server; the id must be the same. */
     boolean isOf(BackendServer server) {
-        return bornMillis == server.bornMillis();
+        return startedMillis == server.startedMillis();
     }
 
-    /** Returns the key of the server in beliefs. */
+    /** Returns the key of the server in health estimates. */
     public String key() {
         return key;
     }
 
-    /** Returns the number that stands for the server in messages. */
+    /** Returns the hash that identifies the server in messages. */
     public long code() {
         return code;
     }
 
-    /** Counts a request that goes to the server. */
+    /** Counts the start of a request to the server. */
     public void requestStarted() {
         inFlight++;
     }
@@ -53,47 +53,48 @@
         inFlight--;
     }
 
-    /** Returns the requests of this VM that the server has. */
+    /** Returns the number of requests that this VM has in flight at the server. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Takes the load that the server reported, running and waiting requests together. */
-    public void recordReportedLoad(int busy, long nowNanos) {
-        reportedBusy = busy;
+    /** Records the load that the server reported, the sum of running and queued requests. */
+    public void recordReportedLoad(int load, long nowNanos) {
+        reportedLoad = load;
         reportedAtNanos = nowNanos;
         hasReport = true;
     }
 
-    /** Notes that a connection could be established, or that an answer came. */
+    /** Records that there is a connection to the server, which ends the backoff. */
     public void recordPathSuccess() {
-        failuresInRow = 0;
-        avoidUntilNanos = 0;
+        consecutiveFailures = 0;
+        backoffUntilNanos = 0;
     }
 
-    /** Notes that no connection could be established; the path or the server is down. */
+    /** Records that the server could not be reached, as the path or the server is down, which starts a new backoff. */
     public void recordPathFailure(long nowNanos) {
-        long avoidance = SHORTEST_AVOIDANCE_NANOS << Math.min(failuresInRow, 3);
-        failuresInRow++;
-        avoidUntilNanos = nowNanos + Math.min(avoidance, LONGEST_AVOIDANCE_NANOS);
+        long backoff = MIN_BACKOFF_NANOS << Math.min(consecutiveFailures, 3);
+        consecutiveFailures++;
+        backoffUntilNanos = nowNanos + Math.min(backoff, MAX_BACKOFF_NANOS);
     }
 
-    /** Returns whether the path is avoided after failed connection attempts. */
+    /** Returns whether the server is avoided after failed connection attempts. */
     public boolean isInBackoff(long nowNanos) {
-        return failuresInRow > 0 && nowNanos - avoidUntilNanos < 0;
+        return consecutiveFailures > 0 && nowNanos - backoffUntilNanos < 0;
     }
 
     /**
-     * Returns an estimate of the requests that the server has, by its own report and by what the VMs sent.
+     * Returns the estimated number of requests that the server has, from its own report and the requests that the VMs
+     * have in flight.
      *
-     * @param inFlightOfOthers the requests of other VMs
+     * @param inFlightOfOthers the requests that other VMs have in flight at the server
      */
     public double estimatedLoad(int inFlightOfOthers, long nowNanos) {
         int sent = inFlight + inFlightOfOthers;
         if (!hasReport) {
             return sent;
         }
-        double freshness = Math.exp(-(nowNanos - reportedAtNanos) / REPORT_LIFE_NANOS);
-        return Math.max(sent, reportedBusy * freshness);
+        double freshness = Math.exp(-(nowNanos - reportedAtNanos) / REPORT_DECAY_NANOS);
+        return Math.max(sent, reportedLoad * freshness);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/WeightedRoundRobin.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/WeightedRoundRobin.java
@@ -8,47 +8,50 @@
 import java.util.Random;
 
 /**
- * Shares the requests of a route among its parts by their weights, with smooth weighted round robin. It starts at a
- * random point, so that many VMs with few requests each keep to the weights together. Not safe for several threads.
+ * Distributes the requests of a route over its services by weight, with smooth weighted round robin. Each route starts
+ * at a random position, so that many VMs with few requests each match the weights together. Not thread-safe.
  */
 public final class WeightedRoundRobin {
-    /** Routes that are remembered at most; beyond it all start anew, which costs one request's evenness each. */
-    private static final int MOST_TURNS = 4096;
+    /**
+     * Largest number of routes with a stored position; beyond it all routes start anew, which shifts the distribution
+     * of each by about one request.
+     */
+    private static final int MAX_ROUTES = 4096;
 
     private final Random random;
-    private final Map<String, Turn> turns = new HashMap<>();
+    private final Map<String, Rotation> rotations = new HashMap<>();
 
-    /** Creates a split whose starting points come from the random source. */
+    /** Creates a distribution whose start positions come from the random source. */
     public WeightedRoundRobin(Random random) {
         this.random = random;
     }
 
     /** Returns the service that gets the next request of the route. */
     public String next(Route route) {
-        List<WeightedService> parts = route.weightedServices();
-        if (parts.size() == 1) {
-            return parts.get(0).service();
+        List<WeightedService> services = route.weightedServices();
+        if (services.size() == 1) {
+            return services.get(0).service();
         }
-        Turn turn = turns.get(route.name());
-        if (turn == null || !turn.parts.equals(parts)) {
-            if (turns.size() >= MOST_TURNS) {
-                turns.clear();
+        Rotation rotation = rotations.get(route.name());
+        if (rotation == null || !rotation.services.equals(services)) {
+            if (rotations.size() >= MAX_ROUTES) {
+                rotations.clear();
             }
-            turn = new Turn(parts, random);
-            turns.put(route.name(), turn);
+            rotation = new Rotation(services, random);
+            rotations.put(route.name(), rotation);
         }
-        return turn.next();
+        return rotation.next();
     }
 
-    private static final class Turn {
-        private final List<WeightedService> parts;
+    private static final class Rotation {
+        private final List<WeightedService> services;
         private final double[] credits;
         private final double total;
 
-        Turn(List<WeightedService> parts, Random random) {
-            this.parts = parts;
-            credits = new double[parts.size()];
-            total = parts.stream().mapToDouble(WeightedService::weight).sum();
+        Rotation(List<WeightedService> services, Random random) {
+            this.services = services;
+            credits = new double[services.size()];
+            total = services.stream().mapToDouble(WeightedService::weight).sum();
             for (int i = 0; i < credits.length; i++) {
                 credits[i] = random.nextDouble() * total;
             }
@@ -57,15 +60,15 @@
         String next() {
             int best = -1;
             for (int i = 0; i < credits.length; i++) {
-                credits[i] += parts.get(i).weight();
-                boolean isEligible = parts.get(i).weight() > 0;
+                credits[i] += services.get(i).weight();
+                boolean isEligible = services.get(i).weight() > 0;
                 if (isEligible && (best < 0 || credits[i] > credits[best])) {
                     best = i;
                 }
             }
             int chosen = Math.max(best, 0);
             credits[chosen] -= total;
-            return parts.get(chosen).service();
+            return services.get(chosen).service();
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions on one request: which part of a route, which server, whether to send it once more, when to give up and
- * what to answer. Pure: events and times in, steps out; nothing here knows HTTP or sockets.
+ * The decisions on one request: which of the weighted services of a route, which server, whether to retry, when to fail
+ * the request and what to answer. The code is free of I/O and clocks: events and times in, steps out.
  */
 package io.coppershelf.dispatch;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
@@ -107,7 +107,7 @@
 
     static void writeServer(MessagePacker packer, BackendServer server) throws IOException {
         packer.packString(server.id());
-        packer.packLong(server.bornMillis());
+        packer.packLong(server.startedMillis());
         packer.packString(server.service());
         writeAddress(packer, server.address());
         packer.packString(server.dataCentre());
--- a/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
@@ -274,7 +274,7 @@
                                 "tookMs", TimeUnit.NANOSECONDS.toMillis(attempt.ageNanos()),
                                 "sicknessThen", inputs.unhealthyProbability(),
                                 "observedMsBefore", inputs.observationAge().toMillis(),
-                                "busyThen", inputs.busy(),
+                                "busyThen", inputs.load(),
                                 "serversRevision", catalog.servers().revision()));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/proxy/ServerConnectionPool.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/ServerConnectionPool.java
@@ -68,7 +68,7 @@
     }
 
     private static String keyOf(BackendServer server) {
-        return server.id() + '@' + server.bornMillis() + '@' + server.address();
+        return server.id() + '@' + server.startedMillis() + '@' + server.address();
     }
 
     private static final class ServerLinks {
--- a/coppershelf/src/test/java/io/coppershelf/catalog/CatalogTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/catalog/CatalogTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void drainingServerIsKnownButTakesNoRequests() {
+    void drainingServerIsListedButAcceptsNoRequests() {
         BackendServer ready = Catalogs.server("a", "here");
         BackendServer draining = new BackendServer(
                 "a", 1, ready.service(), ready.address(), ready.dataCentre(), ready.slots(), false, 0);
--- a/coppershelf/src/test/java/io/coppershelf/catalog/RemovalGraceTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/catalog/RemovalGraceTest.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: the platform is away, all registrations expire, and the servers still work. */
+/** Scenario: the platform is unavailable, and all registrations expire while the servers still work. */
 final class RemovalGraceTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final RemovalGrace grace = new RemovalGrace();
 
     @Test
-    void serversThatExpiredDuringAnOutageStayInUseUntilTheyCanBeBack() {
+    void serversThatExpiredDuringAnOutageAreRetainedUntilTheyCanRegisterAgain() {
         ServerList after = list(2);
         grace.update(list(1, "a", "b"), after, true, 0);
         assertThat(grace.expire(2 * SECOND)).isFalse();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void serverThatIsBackIsTakenAsItReportsItself() {
+    void serverThatRegistersAgainIsNoLongerRetained() {
         grace.update(list(1, "a", "b"), list(2), true, 0);
         ServerList back = list(3, "a");
         grace.update(list(2), back, false, SECOND);
@@ -35,14 +35,14 @@
     }
 
     @Test
-    void singleServerThatVanishesIsGoneAtOnce() {
+    void singleServerThatDisappearsIsRemovedAtOnce() {
         ServerList after = list(2, "b", "c", "d");
         grace.update(list(1, "a", "b", "c", "d"), after, false, 0);
         assertThat(grace.withRetained(after).server("a")).isEmpty();
     }
 
     @Test
-    void serversThatVanishTogetherStayInUseForLessThanTheBoundOnLeavingServers() {
+    void serversThatDisappearTogetherAreRetainedForLessThanTheBoundOnLeavingServers() {
         ServerList after = list(2, "c");
         grace.update(list(1, "a", "b", "c"), after, false, 0);
         assertThat(grace.withRetained(after).all()).hasSize(3);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void drainingServersAreNeverKept() {
+    void drainingServersAreNeverRetained() {
         BackendServer ready = Catalogs.server("a", "here");
         BackendServer draining = new BackendServer(
                 "a", 1, ready.service(), ready.address(), ready.dataCentre(), ready.slots(), false, 0);
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/FleetLoadTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/FleetLoadTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Pattern: many VMs with few requests each share servers with few slots. */
+/** Scenario: many VMs with few requests each share servers with few slots. */
 final class FleetLoadTest {
     private static final long SERVER = FleetLoad.codeOf("i-1@5");
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void countsOfAVmThatFellSilentAreForgotten() {
+    void countsOfASilentVmExpire() {
         load.recordInFlight("vm-1", SERVER, 2, 0);
         load.recordInFlight("vm-2", SERVER, 1, FleetLoad.EXPIRY_NANOS);
         load.expire(FleetLoad.EXPIRY_NANOS + 1);
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/FleetRetryBudgetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/FleetRetryBudgetTest.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: a service fails every request, and each of many VMs with little traffic wants to send each one again. */
+/**
+ * Guards against retry storms: a service fails every request, and each of many VMs with little traffic tries to retry
+ * all of them.
+ */
 final class FleetRetryBudgetTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -16,20 +19,20 @@
     void sharesOfAllVmsAddUpToLessThanTheLimitOfTheFleet() {
         int vms = 36;
         int requestsPerVm = 15;
-        int repeats = 0;
+        int retries = 0;
         for (int vm = 0; vm < vms; vm++) {
             FleetRetryBudget budget = budget();
             for (int i = 0; i < requestsPerVm; i++) {
                 budget.countRequest("s", 0);
-                repeats += budget.tryAcquire("s", vms, 0) ? 1 : 0;
+                retries += budget.tryAcquire("s", vms, 0) ? 1 : 0;
             }
         }
-        assertThat((double) repeats).isLessThan(0.2 * vms * requestsPerVm + 58);
-        assertThat(repeats).isGreaterThan(vms);
+        assertThat((double) retries).isLessThan(0.2 * vms * requestsPerVm + 58);
+        assertThat(retries).isGreaterThan(vms);
     }
 
     @Test
-    void noWindowHasMoreRepeatsThanTheShare() {
+    void noWindowHasMoreRetriesThanTheShare() {
         FleetRetryBudget budget = budget();
         List<Long> times = new ArrayList<>();
         for (int tenth = 0; tenth < 600; tenth++) {
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void servicesHaveBudgetsOfTheirOwn() {
+    void eachServiceHasItsOwnBudget() {
         FleetRetryBudget budget = budget();
         while (budget.tryAcquire("busy", 1, 0)) {
             budget.countRequest("other", 0);
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/IdleServerTrackerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/IdleServerTrackerTest.java
@@ -9,19 +9,22 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: some servers fail grayly, and all work goes to the few that were proven last. */
+/**
+ * Guards against overload during gray failures: without the floor, all requests would go to the few servers that
+ * succeeded last.
+ */
 final class IdleServerTrackerTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    private final IdleServerTracker spread = new IdleServerTracker();
+    private final IdleServerTracker tracker = new IdleServerTracker();
     private final List<BackendServer> servers = IntStream.range(0, 10)
             .mapToObj(number -> Catalogs.server("i-" + number, "here"))
             .toList();
 
     @Test
-    void serversThatHadNoRequestAreDue() {
+    void serversWithoutARequestAreIdle() {
         send(0, 20);
-        assertThat(unused(false, SECOND / 10)).hasSize(9);
+        assertThat(idle(false, SECOND / 10)).hasSize(9);
     }
 
     @Test
@@ -29,35 +32,38 @@
         for (int number = 0; number < 9; number++) {
             send(number, 2);
         }
-        assertThat(unused(false, SECOND / 10)).isEmpty();
+        assertThat(idle(false, SECOND / 10)).isEmpty();
     }
 
-    /** Pattern: all VMs lose power at once; what was in flight counts as failed, and no rule can act afterwards. */
+    /**
+     * Scenario: all VMs lose power at once: requests in flight count as failed, and no request can restore the floor
+     * afterwards.
+     */
     @Test
     void floorIsKeptBeforeAnythingFails() {
         for (int number = 0; number < 10; number++) {
             send(number, 1);
         }
-        assertThat(unused(false, SECOND)).isEmpty();
-        assertThat(unused(false, 2 * SECOND)).hasSize(10);
+        assertThat(idle(false, SECOND)).isEmpty();
+        assertThat(idle(false, 2 * SECOND)).hasSize(10);
     }
 
     @Test
-    void requestsThatMayBeSentAgainGoFirst() {
-        spread.recordRequest(code(1), 0);
+    void retriableRequestsAreSentToIdleServersFirst() {
+        tracker.recordRequest(code(1), 0);
         long later = 3 * SECOND / 2;
-        spread.recordRequest(code(0), later);
-        assertThat(unused(false, later)).contains(servers.get(1));
-        assertThat(unused(true, later)).doesNotContain(servers.get(1));
+        tracker.recordRequest(code(0), later);
+        assertThat(idle(false, later)).contains(servers.get(1));
+        assertThat(idle(true, later)).doesNotContain(servers.get(1));
     }
 
-    private List<BackendServer> unused(boolean isLastChance, long nowNanos) {
-        return spread.idleServers(servers, server -> FleetLoad.codeOf(server.key()), isLastChance, nowNanos);
+    private List<BackendServer> idle(boolean isLastChance, long nowNanos) {
+        return tracker.idleServers(servers, server -> FleetLoad.codeOf(server.key()), isLastChance, nowNanos);
     }
 
     private void send(int server, int count) {
         for (int i = 0; i < count; i++) {
-            spread.recordRequest(code(server), 0);
+            tracker.recordRequest(code(server), 0);
         }
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/RequestPlanTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/RequestPlanTest.java
@@ -19,10 +19,10 @@
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long DEADLINE = 5000 * MILLI;
 
-    private final FakeChoice choice = new FakeChoice("a", "b", "c");
+    private final FakeAllocator allocator = new FakeAllocator("a", "b", "c");
 
     @Test
-    void onceRequestIsNotSentAgainAfterALostAnswer() {
+    void onceRequestIsNotRetriedAfterALostAnswer() {
         RequestPlan plan = started(RequestKind.ONCE);
         PlanStep.Fail fail = fail(plan.lost(0, MILLI));
         assertThat(fail.kind()).isEqualTo(ErrorKind.SERVER_LOST);
@@ -30,19 +30,19 @@
     }
 
     @Test
-    void onceRequestIsSentAgainWhenNoByteWasSent() {
+    void onceRequestIsRetriedWhenNoByteWasSent() {
         RequestPlan plan = started(RequestKind.ONCE);
         assertThat(send(plan.notSent(0, MILLI)).server().id()).isEqualTo("b");
     }
 
     @Test
-    void onceRequestIsSentAgainWhenTheServerStatesThatItHasNotRun() {
+    void onceRequestIsRetriedWhenTheServerStatesThatItHasNotRun() {
         RequestPlan plan = started(RequestKind.ONCE);
         assertThat(send(plan.notRun(0, MILLI)).server().id()).isEqualTo("b");
     }
 
     @Test
-    void refusalByAllServersIsToldAsNotRunWithATimeToComeBack() {
+    void refusalByAllServersFailsAsNotRunWithARetryTime() {
         RequestPlan plan = started(RequestKind.ONCE);
         plan.notRun(0, MILLI);
         PlanStep.Fail fail = fail(plan.notRun(1, MILLI));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void repeatableRequestThatWasLostOnceAndRefusedOnceIsNotToldAsNotRun() {
+    void repeatableRequestThatWasLostOnceAndRefusedOnceDoesNotFailAsNotRun() {
         RequestPlan plan = started(RequestKind.REPEATABLE);
         plan.lost(0, MILLI);
         assertThat(fail(plan.notRun(1, MILLI)).kind().outcome()).isEqualTo(Outcome.UNKNOWN);
@@ -74,21 +74,21 @@
     }
 
     @Test
-    void emptyBudgetKeepsARequestFromBeingSentAgain() {
-        choice.hasBudget = false;
+    void emptyBudgetPreventsARetry() {
+        allocator.hasBudget = false;
         RequestPlan plan = started(RequestKind.REPEATABLE);
         assertThat(plan.failed(0, MILLI)).containsExactly(new PlanStep.Deliver(0));
     }
 
     @Test
     void failedConnectionNeedsNoBudget() {
-        choice.hasBudget = false;
+        allocator.hasBudget = false;
         RequestPlan plan = started(RequestKind.ONCE);
         assertThat(send(plan.notSent(0, MILLI)).attempt()).isEqualTo(1);
     }
 
     @Test
-    void slowRepeatableRequestGoesToASecondServerAsWell() {
+    void slowRepeatableRequestIsHedgedOnASecondServer() {
         RequestPlan plan = started(RequestKind.REPEATABLE);
         long due = plan.nextTimer(0);
         assertThat(due).isLessThan(2000 * MILLI);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void slowOnceRequestStaysWhereItIsAndTheServerIsReported() {
+    void slowOnceRequestIsNotHedgedAndTheStallIsReported() {
         RequestPlan plan = started(RequestKind.ONCE);
         assertThat(plan.timerExpired(plan.nextTimer(0))).containsExactly(new PlanStep.ReportStall(0));
         assertThat(plan.nextTimer(3000 * MILLI)).isEqualTo(DEADLINE);
@@ -111,25 +111,25 @@
 
     @Test
     void requestWithoutAnyServerIsRefusedAtOnce() {
-        RequestPlan plan = plan(RequestKind.ONCE, new FakeChoice());
+        RequestPlan plan = plan(RequestKind.ONCE, new FakeAllocator());
         PlanStep.Fail fail = fail(plan.start(0));
         assertThat(fail.kind()).isEqualTo(ErrorKind.NO_SERVER);
         assertThat(fail.retryAfter()).isPresent();
     }
 
     @Test
-    void lastChanceOfARepeatableRequestIsTold() {
+    void lastAttemptOfARepeatableRequestIsMarked() {
         RequestPlan plan = started(RequestKind.REPEATABLE);
-        assertThat(choice.isLastChance).isFalse();
+        assertThat(allocator.isLastAttempt).isFalse();
         plan.failed(0, MILLI);
-        assertThat(choice.isLastChance).isTrue();
+        assertThat(allocator.isLastAttempt).isTrue();
     }
 
     @Test
-    void firstChanceOfARepeatableRequestIsTheLastOneWhenTheBudgetIsEmpty() {
-        choice.hasBudget = false;
+    void firstAttemptOfARepeatableRequestIsTheLastOneWhenTheBudgetIsEmpty() {
+        allocator.hasBudget = false;
         started(RequestKind.REPEATABLE);
-        assertThat(choice.isLastChance).isTrue();
+        assertThat(allocator.isLastAttempt).isTrue();
     }
 
     @Test
@@ -141,13 +141,13 @@
     }
 
     private RequestPlan started(RequestKind kind) {
-        RequestPlan plan = plan(kind, choice);
+        RequestPlan plan = plan(kind, allocator);
         assertThat(send(plan.start(0)).server().id()).isEqualTo("a");
         return plan;
     }
 
-    private static RequestPlan plan(RequestKind kind, AttemptAllocator choice) {
-        return new RequestPlan(Catalogs.route(kind), choice, DEADLINE, new TypicalLatency());
+    private static RequestPlan plan(RequestKind kind, AttemptAllocator allocator) {
+        return new RequestPlan(Catalogs.route(kind), allocator, DEADLINE, new TypicalLatency());
     }
 
     private static PlanStep.Send send(List<PlanStep> steps) {
@@ -162,20 +162,20 @@
         return (PlanStep.Fail) steps.get(0);
     }
 
-    private static final class FakeChoice implements AttemptAllocator {
+    private static final class FakeAllocator implements AttemptAllocator {
         private final Deque<BackendServer> servers = new ArrayDeque<>();
         private boolean hasBudget = true;
-        private boolean isLastChance;
+        private boolean isLastAttempt;
 
-        FakeChoice(String... ids) {
+        FakeAllocator(String... ids) {
             for (String id : ids) {
                 servers.add(Catalogs.server(id, "here"));
             }
         }
 
         @Override
-        public Optional<BackendServer> choose(Set<String> excluded, boolean lastChance) {
-            isLastChance = lastChance;
+        public Optional<BackendServer> choose(Set<String> excluded, boolean lastAttempt) {
+            isLastAttempt = lastAttempt;
             return servers.stream()
                     .filter(server -> !excluded.contains(server.id()))
                     .findFirst();
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/ServerChooserTest.java
@@ -17,38 +17,38 @@
 final class ServerChooserTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    private final HealthEstimates beliefs = new HealthEstimates();
+    private final HealthEstimates estimates = new HealthEstimates();
     private final FleetLoad fleetLoad = new FleetLoad();
-    private final IdleServerTracker spread = new IdleServerTracker();
-    private final ServerChooser chooser = new ServerChooser("here", beliefs, fleetLoad, spread, new Random(7));
+    private final IdleServerTracker idleServers = new IdleServerTracker();
+    private final ServerChooser chooser = new ServerChooser("here", estimates, fleetLoad, idleServers, new Random(7));
     private final BackendServer near = Catalogs.server("near", "here");
     private final BackendServer far = Catalogs.server("far", "there");
 
     @Test
     void equalServersAreChosenInTheOwnDataCentre() {
-        trust(near);
-        trust(far);
+        observeSuccesses(near);
+        observeSuccesses(far);
         assertThat(chosen(RequestKind.ONCE)).hasValue(near);
     }
 
     @Test
-    void sickServerIsAvoidedEvenIfTheOtherIsRemote() {
-        beliefs.observe(near.key(), Observation.FAILURE, 0);
+    void unhealthyServerIsAvoidedEvenIfTheOtherIsRemote() {
+        estimates.observe(near.key(), Observation.FAILURE, 0);
         assertThat(chosen(RequestKind.ONCE)).hasValue(far);
         assertThat(chosen(RequestKind.LARGE_ANSWER)).hasValue(far);
     }
 
     @Test
-    void sickServerIsStillChosenWhenItIsTheOnlyOne() {
-        beliefs.observe(near.key(), Observation.FAILURE, 0);
+    void unhealthyServerIsStillChosenWhenItIsTheOnlyOne() {
+        estimates.observe(near.key(), Observation.FAILURE, 0);
         assertThat(chooser.choose(List.of(near), RequestKind.ONCE, true, Set.of(), 0))
                 .hasValue(near);
     }
 
     @Test
-    void provenServerTakesMoreThanItsSlotsBeforeASickOneIsUsed() {
-        trust(near);
-        beliefs.observe(far.key(), Observation.FAILURE, 0);
+    void healthyServerGetsMoreThanItsSlotsBeforeAnUnhealthyOneIsUsed() {
+        observeSuccesses(near);
+        estimates.observe(far.key(), Observation.FAILURE, 0);
         chooser.stats(near).recordReportedLoad(7, 0);
         assertThat(chosen(RequestKind.ONCE)).hasValue(near);
         chooser.stats(near).recordReportedLoad(24, 0);
@@ -57,61 +57,64 @@
 
     @Test
     void requestsOfOtherVmsCountAsLoad() {
-        trust(near);
-        trust(far);
+        observeSuccesses(near);
+        observeSuccesses(far);
         for (int vm = 0; vm < 6; vm++) {
             fleetLoad.recordInFlight(vm, chooser.stats(near).code(), 1, 0);
         }
         assertThat(chosen(RequestKind.ONCE)).hasValue(far);
     }
 
-    /** Pattern: so many servers fail that the sound ones are full; sending work to sick ones wastes the repeats. */
+    /**
+     * Scenario: so many servers fail that the healthy ones are full; requests sent to unhealthy ones would use up the
+     * retry budget.
+     */
     @Test
-    void repeatableRequestWaitsAtAFullServerRatherThanGoToASickOne() {
-        trust(near);
+    void repeatableRequestIsQueuedAtAFullServerRatherThanSentToAnUnhealthyOne() {
+        observeSuccesses(near);
         for (int i = 0; i < 3; i++) {
-            beliefs.observe(far.key(), Observation.FAILURE, 0);
+            estimates.observe(far.key(), Observation.FAILURE, 0);
         }
         chooser.stats(near).recordReportedLoad(12, 0);
         assertThat(chosen(RequestKind.REPEATABLE)).hasValue(near);
     }
 
     @Test
-    void serverThatHadNoRequestOfLateIsUsed() {
-        trust(near);
-        trust(far);
-        used(near);
+    void serverWithoutARecentRequestIsUsed() {
+        observeSuccesses(near);
+        observeSuccesses(far);
+        recordRequests(near);
         assertThat(chosen(RequestKind.ONCE)).hasValue(far);
     }
 
-    /** Pattern: a large answer between data centres costs more than the floor is worth; small ones keep it. */
+    /** A large answer between data centres costs more than the floor is worth; small answers keep the floor. */
     @Test
-    void largeAnswersAreNotUsedForTheFloorsSake() {
-        trust(near);
-        trust(far);
-        used(near);
+    void largeAnswersAreNotUsedToKeepTheFloor() {
+        observeSuccesses(near);
+        observeSuccesses(far);
+        recordRequests(near);
         assertThat(chosen(RequestKind.LARGE_ANSWER)).hasValue(near);
     }
 
-    /** Pattern: a service fails much, and work sent to its sick servers for the floor's sake would fail as well. */
+    /** Scenario: many servers of a service fail; requests sent to them to keep the floor would fail as well. */
     @Test
-    void suspectedServerIsNotUsedForTheFloorsSake() {
-        trust(near);
-        beliefs.observe(far.key(), Observation.FAILURE, 0);
-        used(near);
+    void suspectedServerIsNotUsedToKeepTheFloor() {
+        observeSuccesses(near);
+        estimates.observe(far.key(), Observation.FAILURE, 0);
+        recordRequests(near);
         assertThat(chosen(RequestKind.ONCE)).hasValue(near);
     }
 
     @Test
-    void serverWithAFailedPathIsAvoidedForAWhile() {
-        trust(near);
+    void serverThatCouldNotBeReachedIsAvoidedForAWhile() {
+        observeSuccesses(near);
         chooser.stats(near).recordPathFailure(0);
         assertThat(chosen(RequestKind.ONCE)).hasValue(far);
         assertThat(chooser.stats(near).isInBackoff(2 * SECOND)).isFalse();
     }
 
     @Test
-    void nothingIsKnownOfANewIncarnation() {
+    void newIncarnationStartsWithEmptyStatistics() {
         chooser.stats(near).recordPathFailure(0);
         BackendServer restarted = new BackendServer(
                 near.id(), 2, near.service(), near.address(), near.dataCentre(), near.slots(), true, 0);
@@ -125,15 +128,15 @@
                 .isEmpty();
     }
 
-    private void used(BackendServer server) {
+    private void recordRequests(BackendServer server) {
         for (int i = 0; i < 20; i++) {
-            spread.recordRequest(chooser.stats(server).code(), 0);
+            idleServers.recordRequest(chooser.stats(server).code(), 0);
         }
     }
 
-    private void trust(BackendServer server) {
+    private void observeSuccesses(BackendServer server) {
         for (int i = 0; i < 10; i++) {
-            beliefs.observe(server.key(), Observation.SUCCESS, 0);
+            estimates.observe(server.key(), Observation.SUCCESS, 0);
         }
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/WeightedRoundRobinTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/WeightedRoundRobinTest.java
@@ -10,20 +10,20 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: a route is split, and each of many VMs sees only a few of its requests. */
+/** Scenario: the requests of a route are split among services, and each of many VMs receives only a few of them. */
 final class WeightedRoundRobinTest {
     private final Route route = Catalogs.route(
             RequestKind.REPEATABLE,
             List.of(new WeightedService("a", 90), new WeightedService("b", 10), new WeightedService("c", 0)));
 
     @Test
-    void manyVmsWithFewRequestsKeepToTheWeightsTogether() {
+    void manyVmsWithFewRequestsMatchTheWeightsTogether() {
         Random random = new Random(3);
         int forB = 0;
         for (int vm = 0; vm < 100; vm++) {
-            WeightedRoundRobin split = new WeightedRoundRobin(random);
+            WeightedRoundRobin roundRobin = new WeightedRoundRobin(random);
             for (int i = 0; i < 4; i++) {
-                forB += split.next(route).equals("b") ? 1 : 0;
+                forB += roundRobin.next(route).equals("b") ? 1 : 0;
             }
         }
         assertThat(forB).isAtLeast(20);
@@ -31,21 +31,21 @@
     }
 
     @Test
-    void oneVmKeepsToTheWeights() {
-        WeightedRoundRobin split = new WeightedRoundRobin(new Random(3));
+    void oneVmMatchesTheWeights() {
+        WeightedRoundRobin roundRobin = new WeightedRoundRobin(new Random(3));
         int forB = 0;
         for (int i = 0; i < 1000; i++) {
-            forB += split.next(route).equals("b") ? 1 : 0;
+            forB += roundRobin.next(route).equals("b") ? 1 : 0;
         }
         assertThat(forB).isAtLeast(98);
         assertThat(forB).isAtMost(102);
     }
 
     @Test
-    void partWithoutWeightGetsNothing() {
-        WeightedRoundRobin split = new WeightedRoundRobin(new Random(3));
+    void serviceWithoutWeightGetsNothing() {
+        WeightedRoundRobin roundRobin = new WeightedRoundRobin(new Random(3));
         for (int i = 0; i < 1000; i++) {
-            assertThat(split.next(route)).isNotEqualTo("c");
+            assertThat(roundRobin.next(route)).isNotEqualTo("c");
         }
     }
 }
