--- a/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetcher.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetcher.java
@@ -8,14 +8,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * Fetches a configuration that was announced: from the platform, else from another VM, and again after a pause until it
- * is in force. Not safe for several threads.
+ * Fetches an announced configuration from the platform, or else from another VM, and retries after a pause until it is
+ * in force. Not thread-safe.
  */
 final class ConfigurationFetcher {
-    /** Pause before a configuration that could not be read is read again; it doubles each time. */
+    /** Pause before the first retry; it doubles with each further one. */
     static final long FIRST_PAUSE_MILLIS = 150;
-    /** Longest such pause, well under the time in which a change has to be in force. */
-    static final long LONGEST_PAUSE_MILLIS = 1200;
+    /** Longest pause, well under the time within which a change has to be in force. */
+    static final long MAX_PAUSE_MILLIS = 1200;
 
     private final CatalogReader reader;
     private final SnapshotSource peers;
@@ -25,19 +25,19 @@
     private final EventLog log;
     private boolean isFetching;
     private long pauseMillis = FIRST_PAUSE_MILLIS;
-    private long wanted;
+    private long announcedRevision;
 
-    /** Runs something later, on the same thread. */
+    /** Runs delayed actions on the same thread. */
     interface Timer {
-        /** Runs it after a time. */
+        /** Runs an action after a delay. */
         void schedule(long millis, Runnable action);
     }
 
     /**
-     * Creates a fetch that wants nothing yet.
+     * Creates a fetcher without an announced configuration.
      *
      * @param inForce the revision of the configuration in force, 0 if there is none
-     * @param onRead takes a configuration that was read; older ones than that in force must be ignored there
+     * @param onRead receives each configuration that was read; it has to ignore those older than the one in force
      */
     ConfigurationFetcher(
             CatalogReader reader,
@@ -56,44 +56,44 @@
 
     /** Returns the revision of the newest configuration that was announced. */
     long newestAnnounced() {
-        return Math.max(wanted, inForce.getAsLong());
+        return Math.max(announcedRevision, inForce.getAsLong());
     }
 
-    /** Notes that a configuration was published, and fetches it unless it is in force. */
+    /** Records that a configuration was published, and fetches it unless it is in force. */
     void announced(long revision) {
-        wanted = Math.max(wanted, revision);
-        if (isFetching || inForce.getAsLong() >= wanted) {
+        announcedRevision = Math.max(announcedRevision, revision);
+        if (isFetching || inForce.getAsLong() >= announcedRevision) {
             return;
         }
         isFetching = true;
-        reader.readConfigurationAllowingStale(wanted, this::take, this::askPeer);
+        reader.readConfigurationAllowingStale(announcedRevision, this::apply, this::fetchFromPeer);
     }
 
-    private void askPeer() {
+    private void fetchFromPeer() {
         peers.fetch(
                 snapshot -> snapshot.content()
                         .configuration()
                         .filter(found -> found.revision() > inForce.getAsLong())
-                        .ifPresentOrElse(this::take, () -> retryLater("the VM that was asked has no newer one")),
+                        .ifPresentOrElse(this::apply, () -> retryLater("the VM that was asked has no newer one")),
                 this::retryLater);
     }
 
-    private void take(FleetConfiguration configuration) {
+    private void apply(FleetConfiguration configuration) {
         isFetching = false;
         pauseMillis = FIRST_PAUSE_MILLIS;
         onRead.accept(configuration);
-        announced(wanted);
+        announced(announcedRevision);
     }
 
     private void retryLater(String reason) {
         log.important(
                 "configuration-not-read",
-                Fields.of("wanted", wanted, "inForce", inForce.getAsLong(), "reason", reason));
+                Fields.of("wanted", announcedRevision, "inForce", inForce.getAsLong(), "reason", reason));
         long pause = pauseMillis;
-        pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
+        pauseMillis = Math.min(MAX_PAUSE_MILLIS, 2 * pauseMillis);
         timer.schedule(pause, () -> {
             isFetching = false;
-            announced(wanted);
+            announced(announcedRevision);
         });
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetObservations.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetObservations.java
@@ -11,47 +11,47 @@
 import java.util.stream.Collectors;
 
 /**
- * What this VM knows of servers by the requests of all VMs. The control thread changes it; the traffic thread reads its
- * parts.
+ * The state of the servers as observed through the requests of all VMs. The control thread modifies it; the traffic
+ * thread reads its components.
  *
- * @param beliefs how likely each server is sick
- * @param load the requests of other VMs under way at each server
- * @param spread which servers had requests of late
+ * @param estimates the health estimates of the servers
+ * @param load the requests that other VMs have in flight at each server
+ * @param idleServers the times of the last requests of the servers, which show the idle ones
  */
-public record FleetObservations(HealthEstimates beliefs, FleetLoad load, IdleServerTracker spread) {
-    /** Returns an empty one. */
+public record FleetObservations(HealthEstimates estimates, FleetLoad load, IdleServerTracker idleServers) {
+    /** Returns an instance without observations. */
     public static FleetObservations create() {
         return new FleetObservations(new HealthEstimates(), new FleetLoad(), new IdleServerTracker());
     }
 
     /**
-     * Takes the outcome of a request.
+     * Records the outcome of a request.
      *
-     * @param source the VM that saw it
-     * @return whether it is news for the fleet
+     * @param source the VM that observed it
+     * @return whether other VMs need the observation
      */
     boolean observe(String serverKey, Observation observation, String source, StateChangeLog log, long nowNanos) {
-        HealthEstimate before = beliefs.estimate(serverKey, nowNanos);
-        boolean isNews = beliefs.observe(serverKey, observation, nowNanos);
-        log.estimateChanged(serverKey, before, beliefs.estimate(serverKey, nowNanos), source, observation, nowNanos);
-        return isNews;
+        HealthEstimate before = estimates.estimate(serverKey, nowNanos);
+        boolean isReportable = estimates.observe(serverKey, observation, nowNanos);
+        log.estimateChanged(serverKey, before, estimates.estimate(serverKey, nowNanos), source, observation, nowNanos);
+        return isReportable;
     }
 
-    /** Takes what another VM tells of its requests under way. */
-    void recordLoad(Object vm, MeshMessage.Load told, long nowNanos) {
-        int size = Math.min(told.serverCodes().size(), told.inFlight().size());
+    /** Records the numbers of requests that another VM has in flight. */
+    void recordLoad(Object vm, MeshMessage.Load report, long nowNanos) {
+        int size = Math.min(report.serverCodes().size(), report.inFlight().size());
         for (int i = 0; i < size; i++) {
-            long code = told.serverCodes().get(i);
-            if (load.recordInFlight(vm, code, told.inFlight().get(i), nowNanos)) {
-                spread.recordRequest(code, nowNanos);
+            long code = report.serverCodes().get(i);
+            if (load.recordInFlight(vm, code, report.inFlight().get(i), nowNanos)) {
+                idleServers.recordRequest(code, nowNanos);
             }
         }
     }
 
-    /** Forgets servers that are not in the list. */
+    /** Removes servers that are not in the list. */
     void retain(ServerList servers) {
         Set<String> keys = servers.all().stream().map(BackendServer::key).collect(Collectors.toSet());
-        beliefs.retain(keys);
-        spread.retain(keys.stream().map(FleetLoad::codeOf).collect(Collectors.toSet()));
+        estimates.retain(keys);
+        idleServers.retain(keys.stream().map(FleetLoad::codeOf).collect(Collectors.toSet()));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
@@ -19,72 +19,78 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The control state of this VM: catalog, beliefs and membership. Changed by the control thread alone; what the traffic
- * thread reads is published through volatile fields.
+ * The control state of this VM: catalog, observations of servers and membership. Only the control thread modifies it;
+ * values that the traffic thread reads are published through volatile fields.
  */
 public final class FleetState implements ControlState {
     private static final long TICK_MILLIS = 50;
-    /** Every how many ticks a VM tells another one who is there. */
-    private static final int TICKS_PER_MEMBERS = 8;
-    /** How long the platform waits for a change; a reading that finds none confirms what is known. */
+    /** Number of ticks between two gossip messages about the membership. */
+    private static final int TICKS_PER_GOSSIP = 8;
+    /**
+     * Longest time that the platform waits for a change; a reading without changes confirms that the catalog is
+     * current.
+     */
     private static final Duration CHANGE_WAIT = Duration.ofMillis(100);
-    /** Age of what is known from which the platform counts as away; no VM was able to read it for several tries. */
+    /**
+     * Age of the catalog from which on the platform counts as unavailable; by then several readings of all VMs have
+     * failed.
+     */
     private static final long OUTAGE_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
-    /** How long after it removals may stem from registrations that expired meanwhile. */
-    private static final long OUTAGE_EFFECT_NANOS = TimeUnit.SECONDS.toNanos(3);
+    /** Time after an outage in which removals may be due to registrations that expired during the outage. */
+    private static final long OUTAGE_AFTERMATH_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private final EventLoop loop;
     private final CatalogReader reader;
-    private final FleetObservations evidence;
-    private final LoadReporter loadReport = new LoadReporter();
+    private final FleetObservations observations;
+    private final LoadReporter loadReporter = new LoadReporter();
     private final Membership membership;
     private final PlatformReadSchedule schedule;
     private final EventLog log;
-    private final StateChangeLog stateLog;
+    private final StateChangeLog changeLog;
     private final RemovalGrace grace = new RemovalGrace();
-    private final SnapshotSource peers;
-    private final ConfigurationFetcher configurationFetch;
+    private final SnapshotSource snapshots;
+    private final ConfigurationFetcher configurationFetcher;
     private Optional<MeshSocket> socket = Optional.empty();
     private boolean isReading;
-    private boolean isAskingPeer;
+    private boolean isFetchingSnapshot;
     private boolean isPlatformLost;
-    private boolean needsAll = true;
+    private boolean needsCompleteReading = true;
     private long ticks;
     private ServerList registered = ServerList.EMPTY;
     private long outageNanos;
     private boolean hadOutage;
     private volatile Catalog catalog = Catalog.EMPTY;
-    private volatile int fleetSize = Membership.ASSUMED_FLEET;
+    private volatile int fleetSize = Membership.ASSUMED_FLEET_SIZE;
     private volatile boolean isStopping;
 
-    /** Creates a state that knows nothing. */
+    /** Creates a state with an empty catalog. */
     public FleetState(
             EventLoop loop,
             CatalogReader reader,
-            FleetObservations evidence,
+            FleetObservations observations,
             Membership membership,
             Random random,
             EventLog log) {
         this.loop = loop;
         this.reader = reader;
-        this.evidence = evidence;
+        this.observations = observations;
         this.membership = membership;
         schedule = new PlatformReadSchedule(random);
         this.log = log;
-        stateLog = new StateChangeLog(log);
-        peers = new SnapshotClient(loop, () -> membership.randomLive(now()));
-        configurationFetch = new ConfigurationFetcher(
+        changeLog = new StateChangeLog(log);
+        snapshots = new SnapshotClient(loop, () -> membership.randomLive(now()));
+        configurationFetcher = new ConfigurationFetcher(
                 reader,
-                peers,
+                snapshots,
                 (millis, action) -> loop.schedule(action, millis, TimeUnit.MILLISECONDS),
                 this::configurationRevision,
-                this::takeConfiguration,
+                this::applyConfiguration,
                 log);
     }
 
-    /** Starts to read the platform and to talk to peers. */
+    /** Starts to read the platform and to exchange messages with peers. */
     public void start(InetSocketAddress address) {
-        socket = Optional.of(MeshSocket.open(loop, address, this::received, log));
+        socket = Optional.of(MeshSocket.open(loop, address, this::handle, log));
         SnapshotServer.listen(loop, address, this::snapshot, log);
         loop.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -109,7 +115,7 @@
         return !isStopping && catalog.isServing();
     }
 
-    /** Notes that this VM is going to stop. */
+    /** Marks this VM as stopping and announces that to the peers. */
     public void announceStop() {
         isStopping = true;
         loop.execute(() -> {
@@ -130,35 +136,37 @@
     }
 
     @Override
-    public void loadChanged(long serverCode, int inFlight, boolean isBegin) {
+    public void loadChanged(long serverCode, int inFlight, boolean isStart) {
         loop.execute(() -> {
             long now = now();
-            if (isBegin) {
-                evidence.spread().recordRequest(serverCode, now);
+            if (isStart) {
+                observations.idleServers().recordRequest(serverCode, now);
             }
-            long dueNanos = loadReport.changed(serverCode, inFlight, isBegin, now);
-            if (isBegin) {
-                loop.schedule(this::tellLoad, Math.max(0, dueNanos - now), TimeUnit.NANOSECONDS);
+            long dueNanos = loadReporter.changed(serverCode, inFlight, isStart, now);
+            if (isStart) {
+                loop.schedule(this::sendLoad, Math.max(0, dueNanos - now), TimeUnit.NANOSECONDS);
             }
         });
     }
 
-    private void tellLoad() {
-        loadReport.pollDue(now()).ifPresent(load -> socket.ifPresent(open -> open.send(membership.live(now()), load)));
+    private void sendLoad() {
+        loadReporter
+                .pollDue(now())
+                .ifPresent(load -> socket.ifPresent(open -> open.send(membership.live(now()), load)));
     }
 
     private void tick() {
         long now = now();
-        noteOutage(now);
+        detectOutage(now);
         if (grace.expire(now)) {
             Catalog before = catalog;
             catalog = before.with(grace.withRetained(registered));
-            stateLog.serversChanged(before.servers(), catalog.servers(), "expiry");
+            changeLog.serversChanged(before.servers(), catalog.servers(), "expiry");
         }
         ticks++;
-        tellLoad();
-        evidence.load().expire(now);
-        if (ticks % TICKS_PER_MEMBERS == 1) {
+        sendLoad();
+        observations.load().expire(now);
+        if (ticks % TICKS_PER_GOSSIP == 1) {
             membership.nextGossipTarget(now).ifPresent(receiver -> send(receiver, members(true)));
             fleetSize = membership.fleetSize(now());
         }
@@ -168,11 +176,11 @@
     }
 
     private boolean observe(String serverKey, Observation observation, String source) {
-        return evidence.observe(serverKey, observation, source, stateLog, now());
+        return observations.observe(serverKey, observation, source, changeLog, now());
     }
 
-    /** The platform counts as away while nobody has confirmed for some time what is known. */
-    private void noteOutage(long nowNanos) {
+    /** Records an outage of the platform while no reading of any VM has confirmed the catalog for some time. */
+    private void detectOutage(long nowNanos) {
         if (schedule.ageNanos(nowNanos).orElse(0) > OUTAGE_AGE_NANOS) {
             outageNanos = nowNanos;
             hadOutage = true;
@@ -180,46 +188,46 @@
     }
 
     private boolean isAfterOutage() {
-        return hadOutage && now() - outageNanos < OUTAGE_EFFECT_NANOS;
+        return hadOutage && now() - outageNanos < OUTAGE_AFTERMATH_NANOS;
     }
 
     private void read() {
         isReading = true;
-        if (needsAll) {
+        if (needsCompleteReading) {
             reader.readAll(new ReadingListener());
         } else {
             reader.readChanges(registered.revision(), CHANGE_WAIT, new ReadingListener());
         }
     }
 
-    private void received(InetSocketAddress sender, MeshMessage message) {
+    private void handle(InetSocketAddress sender, MeshMessage message) {
         membership.recordContact(sender, now());
         if (message instanceof MeshMessage.Members members) {
             boolean hasNew = membership.merge(members.members(), now());
             fleetSize = membership.fleetSize(now());
-            if (hasNew || members.wantsReply()) {
+            if (hasNew || members.isReplyRequested()) {
                 send(sender, new MeshMessage.Members(membership.nextEntries(hasNew, now()), false));
             }
-        } else if (message instanceof MeshMessage.ServerObservation outcome) {
-            observe(outcome.serverKey(), outcome.observation(), sender.toString());
+        } else if (message instanceof MeshMessage.ServerObservation report) {
+            observe(report.serverKey(), report.observation(), sender.toString());
         } else if (message instanceof MeshMessage.Load load) {
-            evidence.recordLoad(sender, load, now());
-        } else if (message instanceof MeshMessage.CatalogUpdate news) {
-            takeNews(news);
+            observations.recordLoad(sender, load, now());
+        } else if (message instanceof MeshMessage.CatalogUpdate update) {
+            applyUpdate(update);
         }
     }
 
-    private void takeNews(MeshMessage.CatalogUpdate news) {
-        configurationFetch.announced(news.configurationRevision());
+    private void applyUpdate(MeshMessage.CatalogUpdate update) {
+        configurationFetcher.announced(update.configurationRevision());
         long known = registered.revision();
-        CatalogChange change = news.change();
-        if (needsAll || !change.follows(known)) {
+        CatalogChange change = update.change();
+        if (needsCompleteReading || !change.follows(known)) {
             return;
         }
-        if (known < news.revision()) {
+        if (known < update.revision()) {
             publish(change, "peer");
         }
-        schedule.markCurrent(now() - TimeUnit.MILLISECONDS.toNanos(news.ageMillis()));
+        schedule.markCurrent(now() - TimeUnit.MILLISECONDS.toNanos(update.ageMillis()));
     }
 
     private void publish(CatalogChange change, String source) {
@@ -232,42 +240,42 @@
             after = after.with(change.configuration().get());
         }
         catalog = after;
-        stateLog.serversChanged(before.servers(), after.servers(), source);
-        stateLog.configurationChanged(before, after, source);
-        evidence.retain(after.servers());
+        changeLog.serversChanged(before.servers(), after.servers(), source);
+        changeLog.configurationChanged(before, after, source);
+        observations.retain(after.servers());
     }
 
-    private void takeConfiguration(FleetConfiguration configuration) {
+    private void applyConfiguration(FleetConfiguration configuration) {
         Catalog before = catalog;
         catalog = before.with(configuration);
-        stateLog.configurationChanged(before, catalog, "announcement");
+        changeLog.configurationChanged(before, catalog, "announcement");
     }
 
-    /** Asks another VM for everything, after the platform could not be read completely. */
-    private void askPeer() {
-        if (isAskingPeer) {
+    /** Fetches a snapshot from another VM after a complete reading of the platform has failed. */
+    private void fetchSnapshot() {
+        if (isFetchingSnapshot) {
             return;
         }
-        isAskingPeer = true;
-        peers.fetch(this::takeSnapshot, reason -> {
-            isAskingPeer = false;
+        isFetchingSnapshot = true;
+        snapshots.fetch(this::applySnapshot, reason -> {
+            isFetchingSnapshot = false;
             log.routine("peer-not-read", Fields.of("reason", reason));
         });
     }
 
-    private void takeSnapshot(Snapshot snapshot) {
-        isAskingPeer = false;
-        if (needsAll && snapshot.content().revision() >= registered.revision()) {
-            needsAll = false;
+    private void applySnapshot(Snapshot snapshot) {
+        isFetchingSnapshot = false;
+        if (needsCompleteReading && snapshot.content().revision() >= registered.revision()) {
+            needsCompleteReading = false;
             publish(snapshot.content(), "peer");
-            configurationFetch.announced(snapshot.announcedConfiguration());
+            configurationFetcher.announced(snapshot.announcedConfiguration());
         }
     }
 
     private Optional<Snapshot> snapshot() {
         return catalog.isServing()
                 ? Optional.of(new Snapshot(
-                        configurationFetch.newestAnnounced(),
+                        configurationFetcher.newestAnnounced(),
                         CatalogChange.complete(registered, catalog.configuration())))
                 : Optional.empty();
     }
@@ -276,8 +284,8 @@
         return catalog.configuration().map(FleetConfiguration::revision).orElse(0L);
     }
 
-    private MeshMessage.Members members(boolean wantsReply) {
-        return new MeshMessage.Members(membership.nextEntries(false, now()), wantsReply);
+    private MeshMessage.Members members(boolean isReplyRequested) {
+        return new MeshMessage.Members(membership.nextEntries(false, now()), isReplyRequested);
     }
 
     private void send(InetSocketAddress receiver, MeshMessage message) {
@@ -288,12 +296,12 @@
         return System.nanoTime();
     }
 
-    /** Takes the result of a reading of the platform. */
+    /** Applies the result of a reading of the platform. */
     private final class ReadingListener implements CatalogReader.Listener {
         @Override
         public void readSucceeded(CatalogChange change) {
             isReading = false;
-            needsAll = false;
+            needsCompleteReading = false;
             if (isPlatformLost) {
                 isPlatformLost = false;
                 log.important("platform-regained", Fields.of("revision", change.revision()));
@@ -304,14 +312,14 @@
             }
             schedule.readSucceeded();
             schedule.markCurrent(now());
-            tell(before, change);
+            sendUpdate(before, change);
         }
 
         @Override
         public void readFailed(CatalogReader.Failure failure, String reason) {
             isReading = false;
             if (failure == CatalogReader.Failure.HISTORY_LOST) {
-                needsAll = true;
+                needsCompleteReading = true;
                 log.important("platform-history-lost", Fields.of("reason", reason));
                 return;
             }
@@ -320,18 +328,18 @@
                 log.important("platform-lost", Fields.of("reason", reason));
             }
             schedule.readFailed(now());
-            if (needsAll) {
-                askPeer();
+            if (needsCompleteReading) {
+                fetchSnapshot();
             }
         }
 
-        /** Tells the fleet what matters for routing, and that the rest is unchanged. */
-        private void tell(ServerList before, CatalogChange change) {
+        /** Sends the changes that matter for routing to the fleet, with the confirmation that the rest is unchanged. */
+        private void sendUpdate(ServerList before, CatalogChange change) {
             if (change.since() == 0) {
                 return;
             }
-            MeshMessage.CatalogUpdate news = MeshMessage.CatalogUpdate.of(before, change, configurationRevision());
-            socket.ifPresent(open -> open.send(membership.live(now()), news));
+            MeshMessage.CatalogUpdate update = MeshMessage.CatalogUpdate.of(before, change, configurationRevision());
+            socket.ifPresent(open -> open.send(membership.live(now()), update));
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MemberEntry.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MemberEntry.java
@@ -3,15 +3,15 @@
 import java.net.InetSocketAddress;
 
 /**
- * What is said of a VM of the fleet.
+ * The state of a VM of the fleet, as spread by gossip.
  *
- * @param address where it hears datagrams
+ * @param address the address at which it receives datagrams
  * @param incarnation the time of its start in milliseconds since 1970; grows with each start
- * @param heartbeat a counter that the VM raises as long as it runs
- * @param isLeaving whether it takes no new work
+ * @param heartbeat a counter that the VM increments as long as it runs
+ * @param isLeaving whether it accepts no new requests
  */
 public record MemberEntry(InetSocketAddress address, long incarnation, long heartbeat, boolean isLeaving) {
-    /** Returns whether this says more recent things of the VM than the other entry. */
+    /** Returns whether this entry is more recent than the other one of the same VM. */
     boolean isNewerThan(MemberEntry other) {
         return incarnation > other.incarnation || (incarnation == other.incarnation && heartbeat > other.heartbeat);
     }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which VMs are in the fleet, by heartbeat counters that spread from VM to VM: one counts as gone when its counter
- * stops. Starts from a few seeds, which may be wrong or down. Pure; not safe for several threads.
+ * The membership of the fleet, maintained with heartbeat counters that spread by gossip: a VM is considered down when
+ * its counter stops. Starts from a few seeds, which may be wrong or down. Free of I/O and clocks; not thread-safe.
  *
  * @see <a href="https://doi.org/10.1007/978-1-4471-1283-9_4">van Renesse, Minsky and Hayden, A Gossip-Style Failure
  *     Detection Service, 1998</a>
  */
 public final class Membership {
-    /** Time without a new heartbeat after which a VM counts as gone; several rounds of gossip. */
-    static final long GONE_NANOS = TimeUnit.SECONDS.toNanos(8);
-    /** Time after which a VM that is gone is forgotten; its return is heard of sooner. */
-    static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(30);
-    /** Time after its start in which a VM does not know the whole fleet yet. */
+    /** Time without a new heartbeat after which a VM is considered down; several rounds of gossip. */
+    static final long DOWN_NANOS = TimeUnit.SECONDS.toNanos(8);
+    /** Time without a new heartbeat after which a VM is removed; that of a VM that restarts arrives sooner. */
+    static final long REMOVAL_NANOS = TimeUnit.SECONDS.toNanos(30);
+    /** Time after its start in which the membership of a VM may be incomplete. */
     static final long JOINING_NANOS = TimeUnit.SECONDS.toNanos(5);
-    /** The fleet that a VM assumes until then; about the size of the larger deployments of today. */
-    static final int ASSUMED_FLEET = 100;
-    /** Entries of other VMs in one message, so that it stays within one packet. */
+    /** Size of the fleet that a VM assumes until then; about the size of the larger deployments. */
+    static final int ASSUMED_FLEET_SIZE = 100;
+    /** Largest number of entries of other VMs in a message, so that it fits into one packet. */
     private static final int ENTRIES_PER_MESSAGE = 16;
 
     private final InetSocketAddress self;
@@ -49,17 +49,17 @@
         startedNanos = nowNanos;
     }
 
-    /** Notes that this VM takes no new work from now on. */
+    /** Marks this VM as accepting no new requests. */
     public void leave() {
         isLeaving = true;
     }
 
     /**
-     * Takes in what another VM says. What it says of itself holds even if it seems older: a VM whose clock was set back
-     * starts again with a lower incarnation.
+     * Merges the entries of a message of another VM. Its entry for itself is accepted even if it seems older: a VM
+     * whose clock was set back restarts with a lower incarnation.
      *
-     * @param entries the VM that speaks first, then others
-     * @return whether a VM was heard of that was not known or counted as gone
+     * @param entries the entry of the sender first, then those of others
+     * @return whether there is an entry of a VM that was unknown or considered down
      */
     public boolean merge(List<MemberEntry> entries, long nowNanos) {
         boolean hasNew = false;
@@ -69,31 +69,31 @@
                 continue;
             }
             Member known = members.get(entry.address());
-            boolean isOtherStart = i == 0 && known != null && entry.incarnation() != known.entry.incarnation();
-            if (known == null || isOtherStart || entry.isNewerThan(known.entry)) {
-                hasNew |= known == null || known.isGone(nowNanos);
+            boolean hasRestarted = i == 0 && known != null && entry.incarnation() != known.entry.incarnation();
+            if (known == null || hasRestarted || entry.isNewerThan(known.entry)) {
+                hasNew |= known == null || known.isDown(nowNanos);
                 members.put(entry.address(), new Member(entry, nowNanos));
             }
         }
-        members.values().removeIf(member -> nowNanos - member.heardAtNanos > FORGET_NANOS);
+        members.values().removeIf(member -> nowNanos - member.updatedAtNanos > REMOVAL_NANOS);
         return hasNew;
     }
 
-    /** Takes any message as a sign of life of a VM that is known. */
+    /** Records a message of any type from a known VM as a sign that it is alive. */
     public void recordContact(InetSocketAddress sender, long nowNanos) {
         Member known = members.get(sender);
-        if (known != null && !known.isGone(nowNanos)) {
+        if (known != null && !known.isDown(nowNanos)) {
             members.put(sender, new Member(known.entry, nowNanos));
         }
     }
 
-    /** Returns what this VM says in its next message: of itself first, then the latest it heard of others. */
+    /** Returns the entries of the next message of this VM: its own first, then the most recent ones of others. */
     public List<MemberEntry> nextEntries(boolean isComplete, long nowNanos) {
         heartbeat++;
         List<Member> others = new ArrayList<>(members.values());
-        others.removeIf(member -> member.isGone(nowNanos));
+        others.removeIf(member -> member.isDown(nowNanos));
         Collections.shuffle(others, random);
-        others.sort(Comparator.comparingLong(member -> nowNanos - member.heardAtNanos));
+        others.sort(Comparator.comparingLong(member -> nowNanos - member.updatedAtNanos));
         int limit = isComplete ? others.size() : Math.min(ENTRIES_PER_MESSAGE, others.size());
         List<MemberEntry> entries = new ArrayList<>();
         entries.add(new MemberEntry(self, incarnation, heartbeat, isLeaving));
@@ -101,43 +101,43 @@
         return entries;
     }
 
-    /** Returns the VM that hears the next message: a live one, or a seed while few are known. */
+    /** Returns the target of the next gossip message: a live VM, or a seed while few VMs are known. */
     public Optional<InetSocketAddress> nextGossipTarget(long nowNanos) {
         List<InetSocketAddress> live = live(nowNanos);
-        boolean asksSeed = !seeds.isEmpty() && (live.size() < seeds.size() || random.nextInt(8) == 0);
-        List<InetSocketAddress> receivers = asksSeed ? seeds : live;
-        return receivers.isEmpty() ? Optional.empty() : Optional.of(receivers.get(random.nextInt(receivers.size())));
+        boolean isSeedNext = !seeds.isEmpty() && (live.size() < seeds.size() || random.nextInt(8) == 0);
+        List<InetSocketAddress> targets = isSeedNext ? seeds : live;
+        return targets.isEmpty() ? Optional.empty() : Optional.of(targets.get(random.nextInt(targets.size())));
     }
 
-    /** Returns the addresses of the other VMs that count as live. */
+    /** Returns the addresses of the other VMs that are considered live. */
     public List<InetSocketAddress> live(long nowNanos) {
         return members.values().stream()
-                .filter(member -> !member.isGone(nowNanos))
+                .filter(member -> !member.isDown(nowNanos))
                 .map(member -> member.entry.address())
                 .toList();
     }
 
-    /** Returns one of the other VMs that count as live, chosen at random. */
+    /** Returns one of the other VMs that are considered live, chosen at random. */
     public Optional<InetSocketAddress> randomLive(long nowNanos) {
         List<InetSocketAddress> live = live(nowNanos);
         return live.isEmpty() ? Optional.empty() : Optional.of(live.get(random.nextInt(live.size())));
     }
 
     /**
-     * Returns the number of VMs among which shares of limits are divided: those that were live of late, with this one.
-     * A VM that has just started knows only some of them and assumes a large fleet.
+     * Returns the number of VMs among which limits are divided: this VM and those that were live recently. A VM that
+     * has just started knows only some of them and assumes a large fleet.
      */
     public int fleetSize(long nowNanos) {
         int known = members.size() + 1;
-        return nowNanos - startedNanos < JOINING_NANOS ? Math.max(known, ASSUMED_FLEET) : known;
+        return nowNanos - startedNanos < JOINING_NANOS ? Math.max(known, ASSUMED_FLEET_SIZE) : known;
     }
 
-    /** Returns the place of this VM among the live ones, in an order that all VMs share. */
+    /** Returns the rank of this VM among the live ones, in an order that is the same on all VMs. */
     public int rank(long nowNanos) {
-        Comparator<InetSocketAddress> order = Comparator.<InetSocketAddress>comparingInt(Membership::mixed)
+        Comparator<InetSocketAddress> order = Comparator.<InetSocketAddress>comparingInt(Membership::mixedHash)
                 .thenComparing(InetSocketAddress::toString);
         return (int) members.values().stream()
-                .filter(member -> !member.isGone(nowNanos) && !member.entry.isLeaving())
+                .filter(member -> !member.isDown(nowNanos) && !member.entry.isLeaving())
                 .filter(member -> order.compare(member.entry.address(), self) < 0)
                 .count();
     }
@@ -147,14 +147,14 @@
         return nowNanos - startedNanos;
     }
 
-    private static int mixed(InetSocketAddress address) {
+    private static int mixedHash(InetSocketAddress address) {
         int hash = address.hashCode() * 0x9E3779B9;
         return hash ^ (hash >>> 15);
     }
 
-    private record Member(MemberEntry entry, long heardAtNanos) {
-        boolean isGone(long nowNanos) {
-            return nowNanos - heardAtNanos > GONE_NANOS;
+    private record Member(MemberEntry entry, long updatedAtNanos) {
+        boolean isDown(long nowNanos) {
+            return nowNanos - updatedAtNanos > DOWN_NANOS;
         }
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshCodec.java
@@ -12,12 +12,12 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads the messages of the mesh. */
+/** Encodes and decodes the messages of the mesh. */
 final class MeshCodec {
     private static final int VERSION = 1;
     private static final int MEMBERS = 1;
-    private static final int EVIDENCE = 2;
-    private static final int CATALOG_NEWS = 3;
+    private static final int SERVER_OBSERVATION = 2;
+    private static final int CATALOG_UPDATE = 3;
     private static final int LOAD = 4;
 
     private MeshCodec() {}
@@ -48,9 +48,9 @@
                 case MEMBERS ->
                     new MeshMessage.Members(
                             MessageFields.readList(unpacker, MeshCodec::readMember), unpacker.unpackBoolean());
-                case EVIDENCE ->
+                case SERVER_OBSERVATION ->
                     new MeshMessage.ServerObservation(unpacker.unpackString(), observation(unpacker.unpackInt()));
-                case CATALOG_NEWS ->
+                case CATALOG_UPDATE ->
                     new MeshMessage.CatalogUpdate(
                             unpacker.unpackLong(),
                             unpacker.unpackLong(),
@@ -73,23 +73,23 @@
         if (message instanceof MeshMessage.Members members) {
             packer.packInt(MEMBERS);
             MessageFields.writeList(packer, members.members(), MeshCodec::writeMember);
-            packer.packBoolean(members.wantsReply());
-        } else if (message instanceof MeshMessage.ServerObservation evidence) {
-            packer.packInt(EVIDENCE);
-            packer.packString(evidence.serverKey());
-            packer.packInt(evidence.observation().code());
+            packer.packBoolean(members.isReplyRequested());
+        } else if (message instanceof MeshMessage.ServerObservation report) {
+            packer.packInt(SERVER_OBSERVATION);
+            packer.packString(report.serverKey());
+            packer.packInt(report.observation().code());
         } else if (message instanceof MeshMessage.Load load) {
             packer.packInt(LOAD);
             MessageFields.writeList(packer, load.serverCodes(), MessagePacker::packLong);
             MessageFields.writeList(packer, load.inFlight(), MessagePacker::packInt);
-        } else if (message instanceof MeshMessage.CatalogUpdate news) {
-            packer.packInt(CATALOG_NEWS);
-            packer.packLong(news.since());
-            packer.packLong(news.revision());
-            packer.packLong(news.configurationRevision());
-            packer.packInt(news.ageMillis());
-            MessageFields.writeList(packer, news.changed(), MeshCodec::writeServer);
-            MessageFields.writeList(packer, news.removed(), MessagePacker::packString);
+        } else if (message instanceof MeshMessage.CatalogUpdate update) {
+            packer.packInt(CATALOG_UPDATE);
+            packer.packLong(update.since());
+            packer.packLong(update.revision());
+            packer.packLong(update.configurationRevision());
+            packer.packInt(update.ageMillis());
+            MessageFields.writeList(packer, update.changed(), MeshCodec::writeServer);
+            MessageFields.writeList(packer, update.removed(), MessagePacker::packString);
         }
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshMessage.java
@@ -11,12 +11,12 @@
 /** A message between VMs of the fleet. */
 public sealed interface MeshMessage {
     /**
-     * Who is there.
+     * The members of the fleet that the sender knows.
      *
      * @param members the sender first, then others
-     * @param wantsReply whether the sender wants to hear what the receiver knows
+     * @param isReplyRequested whether the sender requests the members that the receiver knows
      */
-    record Members(List<MemberEntry> members, boolean wantsReply) implements MeshMessage {}
+    record Members(List<MemberEntry> members, boolean isReplyRequested) implements MeshMessage {}
 
     /**
      * The outcome of a request at a server.
@@ -26,22 +26,22 @@
     record ServerObservation(String serverKey, Observation observation) implements MeshMessage {}
 
     /**
-     * The requests that the sender has at servers.
+     * The numbers of requests that the sender has in flight at servers.
      *
-     * @param serverCodes numbers that stand for the servers
-     * @param inFlight the requests at each of them
+     * @param serverCodes the hashes that identify the servers
+     * @param inFlight the number of requests in flight at each of them
      */
     record Load(List<Long> serverCodes, List<Integer> inFlight) implements MeshMessage {}
 
     /**
-     * What the sender read from the platform.
+     * The changes that the sender read from the platform.
      *
      * @param since the revision that the changes follow
      * @param revision the revision that was reached
      * @param configurationRevision the revision of the newest configuration
      * @param ageMillis the time since the reading
-     * @param changed servers that are new or report something else
-     * @param removed ids of servers that are gone
+     * @param changed servers that are new or whose report has changed
+     * @param removed ids of servers that are no longer registered
      */
     record CatalogUpdate(
             long since,
@@ -52,7 +52,8 @@
             List<String> removed)
             implements MeshMessage {
         /**
-         * Returns what the fleet needs to hear of a reading: what matters for routing, and that the rest is unchanged.
+         * Returns the update for the other VMs after a reading: it holds the changes that matter for routing and
+         * confirms that the rest is unchanged.
          *
          * @param before the list that the change was applied to
          */
--- a/coppershelf/src/main/java/io/coppershelf/mesh/MeshSocket.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/MeshSocket.java
@@ -36,7 +36,7 @@
     /**
      * Opens the socket.
      *
-     * @param receiver takes the sender and the message
+     * @param receiver receives the sender and the message
      */
     public static MeshSocket open(
             EventLoop loop,
--- a/coppershelf/src/main/java/io/coppershelf/mesh/PlatformReadSchedule.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/PlatformReadSchedule.java
@@ -5,57 +5,58 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides when this VM reads the platform itself. Each VM reads when what it knows has become too old, and the first
- * VMs in a shared order wait the least, so that one or two of them read for the whole fleet and the rest hear from
- * them. A VM that hears from nobody reads by itself, still in time for the bounds. Pure; not safe for several threads.
+ * Decides when this VM reads the platform itself. Each VM reads when its catalog has become too old, and the first VMs
+ * in a shared order wait the least, so that one or two of them read for the whole fleet and the others receive the
+ * changes from them. A VM that receives nothing reads the platform itself, still in time for the bounds. Free of I/O
+ * and clocks; not thread-safe.
  */
 public final class PlatformReadSchedule {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-    /** The age at which the first VM reads; a fifth of the two seconds in which a change has to be in force. */
+    /** The age at which the first VM reads; a fifth of the two seconds within which a change has to be in force. */
     private static final long FIRST_AGE_NANOS = 350 * MILLI;
-    /** The age at which the second VM reads; the first one is late then. */
+    /** The age at which the second VM reads; the reading of the first one is overdue then. */
     private static final long SECOND_AGE_NANOS = 700 * MILLI;
-    /** The age at which every other VM reads, half of the two seconds, so that a reading fits in. */
+    /** The age at which every other VM reads; half of the two seconds, so that there is time for a reading. */
     private static final long OTHERS_AGE_NANOS = 1000 * MILLI;
-    /** Spreads the readings of the others. */
-    private static final long OTHERS_SPREAD_NANOS = 300 * MILLI;
-    /** Until then a new VM does not know its place in the order. */
+    /** Largest random delay, which spreads the readings of the other VMs. */
+    private static final long OTHERS_JITTER_NANOS = 300 * MILLI;
+    /** Time after its start in which a VM does not know its rank in the order. */
     private static final long SETTLING_NANOS = 2500 * MILLI;
-    /** Pause after a first failed reading; it doubles with each further one. */
+    /** Mean pause after a first failed reading; it doubles with each further one. */
     private static final long FIRST_PAUSE_NANOS = 200 * MILLI;
 
-    private static final long LONGEST_PAUSE_NANOS = 1500 * MILLI;
+    private static final long MAX_PAUSE_NANOS = 1500 * MILLI;
     private static final int MAX_DOUBLINGS = 3;
 
     private final Random random;
-    private long confirmedNanos;
+    private long currentAtNanos;
     private boolean isConfirmed;
     private long notBeforeNanos;
     private int failures;
-    private long spreadNanos;
+    private long jitterNanos;
 
     /** Creates a schedule whose first reading is due at once. */
     public PlatformReadSchedule(Random random) {
         this.random = random;
     }
 
-    /** Notes that what is known was current at a time, by an own reading or by a peer's. */
+    /** Records that the catalog was current at a time, as confirmed by a reading of this VM or of a peer. */
     public void markCurrent(long atNanos) {
-        if (!isConfirmed || atNanos - confirmedNanos > 0) {
-            confirmedNanos = atNanos;
+        if (!isConfirmed || atNanos - currentAtNanos > 0) {
+            currentAtNanos = atNanos;
             isConfirmed = true;
-            spreadNanos = (long) (random.nextDouble() * OTHERS_SPREAD_NANOS);
+            jitterNanos = (long) (random.nextDouble() * OTHERS_JITTER_NANOS);
         }
     }
 
-    /** Notes that a reading of this VM succeeded. */
+    /** Records that a reading of this VM succeeded. */
     public void readSucceeded() {
         failures = 0;
     }
 
-    /** Notes that a reading of this VM failed. */
+    /** Records that a reading of this VM failed. */
     public void readFailed(long nowNanos) {
-        long pause = Math.min(LONGEST_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(failures, MAX_DOUBLINGS));
+        long pause = Math.min(MAX_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(failures, MAX_DOUBLINGS));
         failures++;
         notBeforeNanos = nowNanos + pause / 2 + (long) (random.nextDouble() * pause);
     }
@@ -63,19 +64,19 @@
     /**
      * Returns whether a reading is due.
      *
-     * @param rank the place of this VM in the shared order, from 0
+     * @param rank the rank of this VM in the shared order, from 0
      * @param vmAgeNanos the time since the start of this VM
      */
     public boolean isDue(int rank, long vmAgeNanos, long nowNanos) {
         if (failures > 0 && nowNanos - notBeforeNanos < 0) {
             return false;
         }
-        return !isConfirmed || nowNanos - confirmedNanos >= dueAge(rank, vmAgeNanos);
+        return !isConfirmed || nowNanos - currentAtNanos >= dueAge(rank, vmAgeNanos);
     }
 
-    /** Returns the age of what is known, empty before the first confirmation. */
+    /** Returns the age of the catalog, empty before the first confirmation. */
     public OptionalLong ageNanos(long nowNanos) {
-        return isConfirmed ? OptionalLong.of(nowNanos - confirmedNanos) : OptionalLong.empty();
+        return isConfirmed ? OptionalLong.of(nowNanos - currentAtNanos) : OptionalLong.empty();
     }
 
     private long dueAge(int rank, long vmAgeNanos) {
@@ -86,6 +87,6 @@
         if (isSettled && rank == 1) {
             return SECOND_AGE_NANOS;
         }
-        return OTHERS_AGE_NANOS + spreadNanos;
+        return OTHERS_AGE_NANOS + jitterNanos;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotClient.java
@@ -21,12 +21,12 @@
 
 /** Reads snapshots of other VMs over TCP, on the control thread. */
 final class SnapshotClient implements SnapshotSource {
-    /** Longest wait for a connection; a VM of the fleet answers within milliseconds. */
+    /** Longest wait for a connection; a VM of the fleet accepts one within milliseconds. */
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
-    /** Longest wait for the whole snapshot, from the begin of the connection. */
-    private static final long ANSWER_TIMEOUT_MILLIS = 1500;
+    /** Longest wait for the complete snapshot, from the start of the connection. */
+    private static final long REPLY_TIMEOUT_MILLIS = 1500;
     /** The largest snapshot; 140,000 servers and 39,000 routes of about 90 bytes each take 16 MB. */
-    private static final int LARGEST_SNAPSHOT_BYTES = 20 * 1024 * 1024;
+    private static final int MAX_SNAPSHOT_BYTES = 20 * 1024 * 1024;
 
     private final EventLoop loop;
     private final Supplier<Optional<InetSocketAddress>> nextPeer;
@@ -34,7 +34,7 @@
     /**
      * Creates a client.
      *
-     * @param nextPeer chooses the VM to ask, empty if none is known
+     * @param nextPeer chooses the VM to fetch from, empty if none is known
      */
     SnapshotClient(EventLoop loop, Supplier<Optional<InetSocketAddress>> nextPeer) {
         this.loop = loop;
@@ -59,7 +59,7 @@
                     protected void initChannel(Channel channel) {
                         int length = SnapshotServer.LENGTH_BYTES;
                         channel.pipeline()
-                                .addLast(new LengthFieldBasedFrameDecoder(LARGEST_SNAPSHOT_BYTES, 0, length, 0, length))
+                                .addLast(new LengthFieldBasedFrameDecoder(MAX_SNAPSHOT_BYTES, 0, length, 0, length))
                                 .addLast(exchange);
                     }
                 })
@@ -71,7 +71,7 @@
                 });
     }
 
-    /** One exchange; tells its result once. */
+    /** One exchange, which reports its result once. */
     private final class Exchange extends SimpleChannelInboundHandler<ByteBuf> {
         private final InetSocketAddress peer;
         private final Consumer<Snapshot> onRead;
@@ -88,10 +88,10 @@
         public void channelActive(ChannelHandlerContext context) {
             loop.schedule(
                     () -> {
-                        fail("no whole snapshot within " + ANSWER_TIMEOUT_MILLIS + " ms");
+                        fail("no whole snapshot within " + REPLY_TIMEOUT_MILLIS + " ms");
                         context.close();
                     },
-                    ANSWER_TIMEOUT_MILLIS,
+                    REPLY_TIMEOUT_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
 
--- a/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotCodec.java
@@ -21,13 +21,13 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads snapshots. */
+/** Encodes and decodes snapshots. */
 final class SnapshotCodec {
     private static final int VERSION = 1;
 
     private SnapshotCodec() {}
 
-    /** Writes what is in force, or that nothing is. */
+    /** Encodes the snapshot, or that nothing is in force. */
     static byte[] encode(Optional<Snapshot> snapshot) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packInt(VERSION);
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Reads a snapshot, empty if nothing is in force there.
+     * Decodes a snapshot, empty if nothing is in force on the sender.
      *
      * @throws IOException if the bytes are not a snapshot of this version
      */
@@ -109,9 +109,9 @@
         writeDuration(packer, route.objective());
         packer.packInt(route.rank());
         packer.packInt(route.maxServers());
-        MessageFields.writeList(packer, route.weightedServices(), (p, part) -> {
-            p.packString(part.service());
-            p.packDouble(part.weight());
+        MessageFields.writeList(packer, route.weightedServices(), (p, service) -> {
+            p.packString(service.service());
+            p.packDouble(service.weight());
         });
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/SnapshotServer.java
@@ -19,17 +19,23 @@
 import java.util.function.Supplier;
 
 /**
- * Tells other VMs what is in force here: whoever connects to the control port over TCP gets one frame, then the
- * connection is closed. Runs on the control thread.
+ * Serves the catalog in force to other VMs: each TCP connection to the control port gets one frame and is then closed.
+ * Runs on the control thread.
  */
 @ChannelHandler.Sharable
 final class SnapshotServer extends ChannelInboundHandlerAdapter {
-    /** Length of the number of bytes in front of a frame, in bytes. */
+    /** Size of the length field in front of a frame, in bytes. */
     static final int LENGTH_BYTES = 4;
-    /** Readers at a time; further ones ask another VM. Bounds the memory for frames that are still being sent. */
+    /**
+     * Largest number of readers at a time; others fetch from another VM. Bounds the memory for frames that are being
+     * sent.
+     */
     private static final int MAX_READERS = 4;
-    /** Time after which a reader that has not taken its frame is cut off; longer than it waits itself. */
-    private static final long READER_LIMIT_MILLIS = 3000;
+    /**
+     * Time after which the connection of a reader that has not read its frame is closed; longer than the reader's own
+     * timeout.
+     */
+    private static final long READER_TIMEOUT_MILLIS = 3000;
 
     private final Supplier<Optional<Snapshot>> inForce;
     private final EventLog log;
@@ -40,7 +46,7 @@
         this.log = log;
     }
 
-    /** Begins to listen; a VM that can't be asked still serves callers. */
+    /** Starts to listen; a VM that can't listen for other VMs still serves callers. */
     static void listen(EventLoop loop, InetSocketAddress address, Supplier<Optional<Snapshot>> inForce, EventLog log) {
         new ServerBootstrap()
                 .group(loop, loop)
@@ -64,7 +70,7 @@
             return;
         }
         context.pipeline().addFirst(new LengthFieldPrepender(LENGTH_BYTES));
-        context.channel().eventLoop().schedule(() -> context.close(), READER_LIMIT_MILLIS, TimeUnit.MILLISECONDS);
+        context.channel().eventLoop().schedule(() -> context.close(), READER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         context.writeAndFlush(Unpooled.wrappedBuffer(SnapshotCodec.encode(inForce.get())))
                 .addListener(ChannelFutureListener.CLOSE);
     }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/StateChangeLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/StateChangeLog.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Writes a log line for each change of what this VM believes. */
+/** Writes a log line for each change of the control state. */
 final class StateChangeLog {
     private final EventLog log;
 
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Tells that a server is suspected or trusted again, if that has changed.
+     * Logs that a server is suspected or no longer suspected, if that has changed.
      *
-     * @param source who made the observation
+     * @param source the source of the observation
      */
     void estimateChanged(
             String serverKey,
@@ -31,12 +31,12 @@
             String source,
             Observation observation,
             long nowNanos) {
-        boolean isSuspect = after.isSuspected(nowNanos);
-        if (isSuspect == before.isSuspected(nowNanos)) {
+        boolean isSuspected = after.isSuspected(nowNanos);
+        if (isSuspected == before.isSuspected(nowNanos)) {
             return;
         }
         log.important(
-                isSuspect ? "server-suspected" : "server-trusted",
+                isSuspected ? "server-suspected" : "server-trusted",
                 Fields.of(
                         "server",
                         serverKey,
@@ -48,7 +48,7 @@
                         after.unhealthyProbabilityAt(nowNanos)));
     }
 
-    /** Tells which servers joined, left or changed, if any. */
+    /** Logs which servers joined, left or changed, if any. */
     void serversChanged(ServerList before, ServerList after, String source) {
         List<String> changes = new ArrayList<>();
         for (BackendServer server : after.all()) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Tells which configuration is in force, if that has changed. */
+    /** Logs which configuration is in force, if that has changed. */
     void configurationChanged(Catalog before, Catalog after, String source) {
         if (after.configuration().equals(before.configuration())) {
             return;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What the VMs of the fleet tell each other: who is there, evidence on servers, and what was read from the platform.
+ * The messages between the VMs of the fleet: membership, observations of servers, and changes read from the platform.
  * Messages are MessagePack in single datagrams: each is complete, supersedes earlier ones, and may be lost or repeated
- * without harm; so no connection can go silent unnoticed.
+ * without harm, so that no connection can fail silently.
  */
 package io.coppershelf.mesh;
--- a/coppershelf/src/test/java/io/coppershelf/mesh/ConfigurationFetcherTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/ConfigurationFetcherTest.java
@@ -14,10 +14,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The load: a configuration is published while the platform refuses this VM. */
+/** Scenario: a configuration is published while the platform refuses the requests of this VM. */
 final class ConfigurationFetcherTest {
     private final List<Long> pauses = new ArrayList<>();
-    private final Deque<Runnable> later = new ArrayDeque<>();
+    private final Deque<Runnable> delayed = new ArrayDeque<>();
     private final FakeReader platform = new FakeReader();
     private Optional<Snapshot> peer = Optional.empty();
     private long inForce;
@@ -25,50 +25,50 @@
     @Test
     void announcedConfigurationIsReadFromThePlatform() {
         platform.configuration = Optional.of(Snapshots.configuration(5));
-        fetch().announced(5);
+        fetcher().announced(5);
         assertThat(inForce).isEqualTo(5);
-        assertThat(later).isEmpty();
+        assertThat(delayed).isEmpty();
     }
 
     @Test
     void configurationThatIsInForceIsNotReadAgain() {
         inForce = 5;
-        fetch().announced(5);
+        fetcher().announced(5);
         assertThat(platform.calls).isEqualTo(0);
     }
 
     @Test
-    void vmThatThePlatformRefusesGetsTheConfigurationFromAnother() {
+    void vmThatThePlatformRefusesFetchesTheConfigurationFromAnother() {
         peer = Optional.of(Snapshots.of(5));
-        fetch().announced(5);
+        fetcher().announced(5);
         assertThat(inForce).isEqualTo(5);
     }
 
     @Test
-    void olderConfigurationOfAnotherVmIsNotTaken() {
+    void olderConfigurationOfAnotherVmIsNotApplied() {
         inForce = 4;
         peer = Optional.of(Snapshots.of(4));
-        fetch().announced(5);
+        fetcher().announced(5);
         assertThat(inForce).isEqualTo(4);
-        assertThat(later).hasSize(1);
+        assertThat(delayed).hasSize(1);
     }
 
     @Test
-    void newerButNotNewestConfigurationIsTakenAndTheNewestWantedOn() {
+    void newerButNotNewestConfigurationIsAppliedAndTheNewestStillFetched() {
         inForce = 3;
         peer = Optional.of(Snapshots.of(4));
-        fetch().announced(5);
+        fetcher().announced(5);
         assertThat(inForce).isEqualTo(4);
         peer = Optional.of(Snapshots.of(5));
-        later.remove().run();
+        delayed.remove().run();
         assertThat(inForce).isEqualTo(5);
     }
 
     @Test
-    void pausesBetweenTriesGrowToTheirLimit() {
-        fetch().announced(5);
+    void pausesBetweenRetriesGrowToTheirLimit() {
+        fetcher().announced(5);
         for (int i = 0; i < 5; i++) {
-            later.remove().run();
+            delayed.remove().run();
         }
         assertThat(pauses)
                 .containsExactly(150L, 300L, 600L, 1200L, 1200L, 1200L)
@@ -76,23 +76,23 @@
     }
 
     @Test
-    void newerAnnouncementDuringAPauseIsWhatTheNextTryAsksFor() {
-        ConfigurationFetcher fetch = fetch();
-        fetch.announced(5);
-        fetch.announced(6);
+    void nextRetryRequestsTheConfigurationThatWasAnnouncedDuringThePause() {
+        ConfigurationFetcher fetcher = fetcher();
+        fetcher.announced(5);
+        fetcher.announced(6);
         assertThat(platform.calls).isEqualTo(1);
-        later.remove().run();
-        assertThat(platform.askedFor).isEqualTo(6);
-        assertThat(fetch.newestAnnounced()).isEqualTo(6);
+        delayed.remove().run();
+        assertThat(platform.requestedRevision).isEqualTo(6);
+        assertThat(fetcher.newestAnnounced()).isEqualTo(6);
     }
 
-    private ConfigurationFetcher fetch() {
+    private ConfigurationFetcher fetcher() {
         return new ConfigurationFetcher(
                 platform,
                 (onRead, onFailure) -> peer.ifPresentOrElse(onRead, () -> onFailure.accept("no other VM is known")),
                 (millis, action) -> {
                     pauses.add(millis);
-                    later.add(action);
+                    delayed.add(action);
                 },
                 () -> inForce,
                 configuration -> inForce = configuration.revision(),
@@ -103,7 +103,7 @@
     private static final class FakeReader implements CatalogReader {
         private Optional<FleetConfiguration> configuration = Optional.empty();
         private int calls;
-        private long askedFor;
+        private long requestedRevision;
 
         @Override
         public void readAll(Listener listener) {
@@ -119,7 +119,7 @@
         public void readConfigurationAllowingStale(
                 long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure) {
             calls++;
-            askedFor = revision;
+            requestedRevision = revision;
             configuration.ifPresentOrElse(onRead, onFailure);
         }
     }
--- a/coppershelf/src/test/java/io/coppershelf/mesh/FleetStateTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/FleetStateTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Two VMs on the loopback interface, one of which the platform refuses. */
+/** Scenario: two VMs run on the loopback interface, and the platform refuses the requests of one of them. */
 @Timeout(20)
 final class FleetStateTest {
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -38,8 +38,8 @@
     @Test
     void vmThatStartsWhileThePlatformRefusesItServesWhatTheOthersHaveInForce() throws InterruptedException {
         FakePlatform answering = new FakePlatform(Optional.of(Snapshots.of(7)));
-        FleetState known = start(first, answering);
-        Conditions.await(known::isReady);
+        FleetState serving = start(first, answering);
+        Conditions.await(serving::isReady);
         FleetState refused = start(second, new FakePlatform(Optional.empty()));
         Conditions.await(refused::isReady);
         assertThat(revision(refused)).isEqualTo(7);
@@ -49,16 +49,16 @@
     @Test
     void newConfigurationReachesAVmThatThePlatformRefuses() throws InterruptedException {
         FakePlatform answering = new FakePlatform(Optional.of(Snapshots.of(7)));
-        FleetState known = start(first, answering);
+        FleetState serving = start(first, answering);
         FleetState refused = start(second, new FakePlatform(Optional.empty()));
         Conditions.await(refused::isReady);
         answering.snapshot = Optional.of(Snapshots.of(9));
-        Conditions.await(() -> revision(known) == 9);
+        Conditions.await(() -> revision(serving) == 9);
         Conditions.await(() -> revision(refused) == 9);
     }
 
     @Test
-    void vmsThatKnowNothingAreNotReady() throws InterruptedException {
+    void vmsWithoutACatalogAreNotReady() throws InterruptedException {
         FleetState one = start(first, new FakePlatform(Optional.empty()));
         FleetState other = start(second, new FakePlatform(Optional.empty()));
         TimeUnit.SECONDS.sleep(2);
@@ -68,8 +68,8 @@
 
     @Test
     void connectionsThatNeverReadDoNotKeepOthersFromASnapshot() throws Exception {
-        FleetState known = start(first, new FakePlatform(Optional.of(Snapshots.of(7))));
-        Conditions.await(known::isReady);
+        FleetState serving = start(first, new FakePlatform(Optional.of(Snapshots.of(7))));
+        Conditions.await(serving::isReady);
         for (int i = 0; i < 10; i++) {
             Socket idle = new Socket(first.getAddress(), first.getPort());
             idle.setSoTimeout(1);
--- a/coppershelf/src/test/java/io/coppershelf/mesh/LoadReporterTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/LoadReporterTest.java
@@ -10,38 +10,38 @@
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long START = 5000 * MILLI;
 
-    private final LoadReporter report = new LoadReporter();
+    private final LoadReporter reporter = new LoadReporter();
 
     LoadReporterTest() {
-        report.pollDue(START);
+        reporter.pollDue(START);
     }
 
     @Test
-    void beginIsToldWithinMilliseconds() {
-        report.changed(7, 1, true, START);
-        assertThat(report.pollDue(START)).isEmpty();
-        assertThat(report.pollDue(START + 5 * MILLI)).hasValue(new MeshMessage.Load(List.of(7L), List.of(1)));
+    void startIsReportedWithinMilliseconds() {
+        reporter.changed(7, 1, true, START);
+        assertThat(reporter.pollDue(START)).isEmpty();
+        assertThat(reporter.pollDue(START + 5 * MILLI)).hasValue(new MeshMessage.Load(List.of(7L), List.of(1)));
     }
 
     @Test
-    void endIsToldWithTheNextBegin() {
-        report.changed(7, 0, false, START);
-        report.changed(8, 1, true, START + MILLI);
-        MeshMessage.Load load = report.pollDue(START + 6 * MILLI).orElseThrow();
+    void endIsReportedWithTheNextStart() {
+        reporter.changed(7, 0, false, START);
+        reporter.changed(8, 1, true, START + MILLI);
+        MeshMessage.Load load = reporter.pollDue(START + 6 * MILLI).orElseThrow();
         assertThat(load.serverCodes()).containsExactly(7L, 8L);
     }
 
     @Test
-    void endAloneIsToldALittleLater() {
-        report.changed(7, 0, false, START);
-        assertThat(report.pollDue(START + 50 * MILLI)).isEmpty();
-        assertThat(report.pollDue(START + 100 * MILLI)).isPresent();
+    void endAloneIsReportedAfterADelay() {
+        reporter.changed(7, 0, false, START);
+        assertThat(reporter.pollDue(START + 50 * MILLI)).isEmpty();
+        assertThat(reporter.pollDue(START + 100 * MILLI)).isPresent();
     }
 
     @Test
-    void runningRequestsAreToldAgainEverySecond() {
-        report.changed(7, 1, true, START);
-        report.pollDue(START + 5 * MILLI);
-        assertThat(report.pollDue(START + 1000 * MILLI)).hasValue(new MeshMessage.Load(List.of(7L), List.of(1)));
+    void requestsInFlightAreReportedAgainEverySecond() {
+        reporter.changed(7, 1, true, START);
+        reporter.pollDue(START + 5 * MILLI);
+        assertThat(reporter.pollDue(START + 1000 * MILLI)).hasValue(new MeshMessage.Load(List.of(7L), List.of(1)));
     }
 }
--- a/coppershelf/src/test/java/io/coppershelf/mesh/MembershipTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/MembershipTest.java
@@ -18,7 +18,7 @@
     private static final long ROUND = 400 * TimeUnit.MILLISECONDS.toNanos(1);
 
     @Test
-    void vmsThatKnowOnlyTheSeedsFindEachOtherWithinSeconds() {
+    void vmsThatKnowOnlyTheSeedsDiscoverEachOtherWithinSeconds() {
         List<Membership> fleet = fleet(36, 3);
         long now = run(fleet, fleet, 0, JOINED);
         for (Membership vm : fleet) {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void silentVmsCountAsGoneAndTheOthersStay() {
+    void silentVmsAreConsideredDownAndTheOthersStay() {
         List<Membership> fleet = fleet(36, 3);
         long now = run(fleet, fleet, 0, JOINED);
         List<Membership> rest = fleet.subList(0, 20);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void fleetSizeShrinksOnlyLongAfterVmsAreGone() {
+    void fleetSizeShrinksOnlyLongAfterVmsAreDown() {
         List<Membership> fleet = fleet(10, 3);
         long now = run(fleet, fleet, 0, JOINED);
         long later = run(fleet, fleet.subList(0, 5), now, now + 10 * SECOND);
@@ -48,18 +48,18 @@
     @Test
     void vmThatHasJustStartedAssumesALargeFleet() {
         Membership vm = new Membership(address(1), 1, List.of(), new Random(1), 0);
-        assertThat(vm.fleetSize(SECOND)).isEqualTo(Membership.ASSUMED_FLEET);
+        assertThat(vm.fleetSize(SECOND)).isEqualTo(Membership.ASSUMED_FLEET_SIZE);
         assertThat(vm.fleetSize(Membership.JOINING_NANOS)).isEqualTo(1);
     }
 
     @Test
-    void vmWhoseClockWasSetBackBeforeItsRestartIsHeard() {
+    void vmWhoseClockWasSetBackBeforeItsRestartIsAccepted() {
         InetSocketAddress restarted = address(2);
         Membership vm = new Membership(address(1), 1, List.of(), new Random(1), 0);
         vm.merge(List.of(new MemberEntry(restarted, 60_000, 900, true)), 0);
-        assertThat(vm.merge(List.of(new MemberEntry(restarted, 1, 1, false)), Membership.GONE_NANOS + SECOND))
+        assertThat(vm.merge(List.of(new MemberEntry(restarted, 1, 1, false)), Membership.DOWN_NANOS + SECOND))
                 .isTrue();
-        assertThat(vm.live(Membership.GONE_NANOS + SECOND)).containsExactly(restarted);
+        assertThat(vm.live(Membership.DOWN_NANOS + SECOND)).containsExactly(restarted);
     }
 
     @Test
@@ -85,11 +85,11 @@
         for (; now < endNanos; now += ROUND) {
             for (Membership vm : running) {
                 long time = now;
-                vm.nextGossipTarget(now).ifPresent(receiver -> {
-                    Membership target = fleet.get(receiver.getPort() - 1);
-                    if (running.contains(target)) {
-                        boolean hasNew = target.merge(vm.nextEntries(false, time), time);
-                        vm.merge(target.nextEntries(hasNew, time), time);
+                vm.nextGossipTarget(now).ifPresent(target -> {
+                    Membership member = fleet.get(target.getPort() - 1);
+                    if (running.contains(member)) {
+                        boolean hasNew = member.merge(vm.nextEntries(false, time), time);
+                        vm.merge(member.nextEntries(hasNew, time), time);
                     }
                 });
             }
--- a/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
@@ -13,7 +13,7 @@
 
 final class MeshCodecTest {
     @Test
-    void everyMessageIsReadAsItWasWritten() throws IOException {
+    void everyMessageIsDecodedAsItWasEncoded() throws IOException {
         List<MeshMessage> messages = List.of(
                 new MeshMessage.Members(
                         List.of(new MemberEntry(new InetSocketAddress("127.0.0.1", 7), 3, 4, true)), true),
--- a/coppershelf/src/test/java/io/coppershelf/mesh/PlatformReadScheduleTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/PlatformReadScheduleTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Pattern: every VM needs changes within two seconds, but calls to the platform are few and dear. */
+/** Scenario: every VM needs changes within two seconds, but the platform allows few calls. */
 final class PlatformReadScheduleTest {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long OLD = TimeUnit.MINUTES.toNanos(1);
@@ -27,13 +27,13 @@
     }
 
     @Test
-    void vmThatHearsNothingReadsInTimeForTheBound() {
+    void vmThatReceivesNothingReadsInTimeForTheBound() {
         schedule.markCurrent(0);
         assertThat(schedule.isDue(30, OLD, 1400 * MILLI)).isTrue();
     }
 
     @Test
-    void newsOfAPeerPutsTheReadingOff() {
+    void confirmationOfAPeerPostponesTheReading() {
         schedule.markCurrent(0);
         schedule.markCurrent(300 * MILLI);
         assertThat(schedule.isDue(0, OLD, 500 * MILLI)).isFalse();
--- a/coppershelf/src/test/java/io/coppershelf/mesh/SnapshotCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/SnapshotCodecTest.java
@@ -11,7 +11,7 @@
 
 final class SnapshotCodecTest {
     @Test
-    void snapshotIsReadAsItWasWritten() throws IOException {
+    void snapshotIsDecodedAsItWasEncoded() throws IOException {
         Snapshot written = Snapshots.of(7);
         Snapshot read =
                 SnapshotCodec.decode(SnapshotCodec.encode(Optional.of(written))).orElseThrow();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void nothingInForceIsReadAsEmpty() throws IOException {
+    void nothingInForceIsDecodedAsEmpty() throws IOException {
         assertThat(SnapshotCodec.decode(SnapshotCodec.encode(Optional.empty()))).isEmpty();
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/mesh/Snapshots.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/Snapshots.java
@@ -24,7 +24,7 @@
                 CallerLimits.DEFAULT);
     }
 
-    /** Returns a snapshot with one server, in which everything is of one revision. */
+    /** Returns a snapshot with one server, in which everything has the same revision. */
     static Snapshot of(long revision) {
         return new Snapshot(
                 revision,
