--- a/coppershelf/src/main/java/io/coppershelf/gateway/Gateway.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/Gateway.java
@@ -24,18 +24,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The running daemon: one thread for control state, one for traffic. */
+/** The running daemon, with one thread for the control state and one for traffic. */
 public final class Gateway {
     /**
-     * After this time the balancer has noticed that the VM is not ready; it asks once a second and needs two misses.
+     * Time after which the load balancer has detected that the VM is not ready; it probes once a second and needs two
+     * failed probes.
      */
-    private static final Duration BALANCER_NOTICE = Duration.ofMillis(2600);
+    private static final Duration BALANCER_DETECTION = Duration.ofMillis(2600);
     /**
-     * After this time no more requests are read, although callers may still send some while few VMs are in rotation;
-     * half of the six seconds until the process is killed is left for those that were read.
+     * Time after which no more requests are read, although callers may still send some while few VMs are in rotation;
+     * the other half of the six seconds until the process is killed is left for requests that were read.
      */
-    private static final Duration LATEST_READING = Duration.ofSeconds(3);
-    /** Taken off the stop limit, so that the process ends by itself. */
+    private static final Duration READ_CUTOFF = Duration.ofSeconds(3);
+    /** Deducted from the stop limit, so that the process exits before it is killed. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(500);
 
     private static final long STOP_POLL_MILLIS = 50;
@@ -61,21 +62,21 @@
         EventLoop control = newLoop("control");
         EventLoop trafficLoop = newLoop("traffic");
         Random random = new Random();
-        FleetObservations evidence = FleetObservations.create();
+        FleetObservations observations = FleetObservations.create();
         Membership membership = new Membership(
                 settings.meshAddress(), System.currentTimeMillis(), settings.seeds(), random, System.nanoTime());
         PrometheusRegistry registry = new PrometheusRegistry();
         CatalogReader reader = new MeteredCatalogReader(readers.apply(control), registry);
-        FleetState state = new FleetState(control, reader, evidence, membership, random, log);
+        FleetState state = new FleetState(control, reader, observations, membership, random, log);
         FleetRetryBudget budget =
                 new FleetRetryBudget(settings.retryRatio(), settings.retriesPerWindow(), settings.retryWindow());
         TrafficServer traffic = new TrafficServer(
                 trafficLoop,
                 settings.headers(),
                 state,
-                evidence.estimates(),
-                evidence.load(),
-                evidence.idleServers(),
+                observations.estimates(),
+                observations.load(),
+                observations.idleServers(),
                 budget,
                 settings.dataCentre(),
                 registry,
@@ -94,17 +95,17 @@
     }
 
     /**
-     * Stops taking requests and waits until those under way are answered: first the balancer has to notice that the VM
-     * is not ready, and new requests are served meanwhile.
+     * Stops accepting requests and waits until those in flight are answered. Until the load balancer has detected that
+     * the VM is not ready, new requests are still served.
      */
     public void stop() throws InterruptedException {
         long startNanos = System.nanoTime();
         log.important("stopping", Fields.of("underWay", traffic.requestsInFlight()));
         state.announceStop();
-        TimeUnit.NANOSECONDS.sleep(BALANCER_NOTICE.toNanos());
+        TimeUnit.NANOSECONDS.sleep(BALANCER_DETECTION.toNanos());
         long limitNanos = settings.stopLimit().minus(STOP_MARGIN).toNanos();
         traffic.closeIdleConnections();
-        awaitAnswers(startNanos + LATEST_READING.toNanos());
+        awaitAnswers(startNanos + READ_CUTOFF.toNanos());
         traffic.stopReading();
         awaitAnswers(startNanos + limitNanos);
         log.important("stopped", Fields.of("underWay", traffic.requestsInFlight()));
@@ -116,7 +117,7 @@
         } while (traffic.requestsInFlight() > 0 && System.nanoTime() - limitNanos < 0);
     }
 
-    /** A VM whose metrics can't be served still serves callers. */
+    /** Serves the metrics; a VM whose metrics can't be served still serves callers. */
     private static void serveMetrics(
             EventLoop control, InetSocketAddress address, PrometheusRegistry registry, EventLog log) {
         PageServer.listen(control, address, "/metrics", () -> new PageServer.Page(true, metrics(registry)))
--- a/coppershelf/src/main/java/io/coppershelf/gateway/GatewaySettings.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/GatewaySettings.java
@@ -11,17 +11,17 @@
  *
  * @param vm the name of the VM
  * @param dataCentre the data centre of the VM
- * @param callerAddress where callers are served
- * @param readinessAddress where the balancer asks whether the VM is ready
- * @param readinessPath the path that it asks for
- * @param meshAddress where other VMs send their datagrams
+ * @param callerAddress the address at which callers are served
+ * @param readinessAddress the address at which the load balancer probes whether the VM is ready
+ * @param readinessPath the path of these probes
+ * @param meshAddress the address at which other VMs send their datagrams
  * @param seeds mesh addresses of some VMs; they may be wrong or down
- * @param metricsAddress where metrics are served, on {@code /metrics}; empty for nowhere
+ * @param metricsAddress the address at which metrics are served, on {@code /metrics}; empty if they are not served
  * @param headers the names of headers
- * @param retryRatio repeats for each request that the fleet may send in each window
- * @param retriesPerWindow repeats that the fleet may send besides
+ * @param retryRatio retries that the fleet may send in each window for each request
+ * @param retriesPerWindow additional retries that the fleet may send in each window
  * @param retryWindow the length of the window
- * @param stopLimit the longest time from the order to stop to the exit
+ * @param stopLimit the longest time from the stop request to the exit of the process
  */
 public record GatewaySettings(
         String vm,
--- a/coppershelf/src/main/java/io/coppershelf/gateway/MeteredCatalogReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/MeteredCatalogReader.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** Counts the readings of the platform by kind and outcome, and their duration. */
+/** Counts the readings of the platform by kind and outcome, and measures their duration. */
 final class MeteredCatalogReader implements CatalogReader {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final String COMPLETE = "complete";
@@ -38,12 +38,12 @@
 
     @Override
     public void readAll(Listener listener) {
-        reader.readAll(measured(COMPLETE, listener));
+        reader.readAll(metered(COMPLETE, listener));
     }
 
     @Override
     public void readChanges(long revision, Duration wait, Listener listener) {
-        reader.readChanges(revision, wait, measured(CHANGES, listener));
+        reader.readChanges(revision, wait, metered(CHANGES, listener));
     }
 
     @Override
@@ -61,7 +61,7 @@
                 });
     }
 
-    private Listener measured(String kind, Listener listener) {
+    private Listener metered(String kind, Listener listener) {
         long startNanos = System.nanoTime();
         return new Listener() {
             @Override
--- a/coppershelf/src/main/java/io/coppershelf/gateway/PageServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/PageServer.java
@@ -26,14 +26,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Supplier;
 
-/** Serves one page on one path, for the balancer or for operators. */
+/** Serves one page on one path, for the load balancer or for operators. */
 final class PageServer {
     private PageServer() {}
 
-    /** A page: whether all is well, and its text. */
+    /** A page: whether its status is OK, and its text. */
     record Page(boolean isOk, String text) {}
 
-    /** Begins to listen; the page is made anew for each request. */
+    /** Starts to listen; the page is generated for each request. */
     static ChannelFuture listen(EventLoop loop, InetSocketAddress address, String path, Supplier<Page> page) {
         return new ServerBootstrap()
                 .group(loop, loop)
--- a/coppershelf/src/main/java/io/coppershelf/gateway/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The daemon of an entry VM on a platform that publishes configuration and servers: assembles its parts and ends it.
+ * The daemon of an entry VM on a platform that publishes configuration and servers: assembles its components, and
+ * starts and stops it.
  */
 package io.coppershelf.gateway;
--- a/coppershelf/src/main/java/io/coppershelf/http/AnswerListener.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/AnswerListener.java
@@ -1,17 +1,17 @@
 package io.coppershelf.http;
 
-/** Hears how an exchange ended, once, on the thread of the connection. */
+/** Receives the end of an exchange, once, on the thread of the connection. */
 public interface AnswerListener {
-    /** Returns whether the answer belongs to the request; one that does not is skipped. */
+    /** Returns whether the answer belongs to the request; other answers are skipped. */
     boolean belongsToRequest(HttpAnswer answer);
 
-    /** The whole answer has arrived. */
+    /** Called when the complete answer has arrived. */
     void answered(HttpAnswer answer);
 
     /**
-     * The connection ended, or brought bytes that are no answer.
+     * Called when the connection has ended or delivered bytes that are not an answer.
      *
-     * @param isGarbled whether bytes of an answer had arrived that are not a whole one
+     * @param isGarbled whether the bytes that had arrived are not a complete answer
      * @param reason what happened, for the log
      */
     void lost(boolean isGarbled, String reason);
--- a/coppershelf/src/main/java/io/coppershelf/http/HttpAnswer.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/HttpAnswer.java
@@ -3,10 +3,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A whole answer.
+ * A complete answer.
  *
  * @param status the status code
  * @param headers the headers as received
- * @param body the whole body
+ * @param body the complete body
  */
 public record HttpAnswer(int status, HttpHeaders headers, byte[] body) {}
--- a/coppershelf/src/main/java/io/coppershelf/http/HttpConnection.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/HttpConnection.java
@@ -19,15 +19,22 @@
 import java.util.function.Consumer;
 
 /**
- * A connection with one exchange at a time. It is fit for another exchange only if the last one ended cleanly: request
- * written to the end, answer delimited by its own length, no byte after it, and no wish of the server to close.
+ * A client connection with one exchange at a time. It is reused only if the last exchange ended cleanly: the request
+ * was written completely, the answer was delimited by its own length, no bytes followed it, and the server did not ask
+ * to close the connection.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter {
-    /** The largest answer that is kept in memory, in bytes; the largest ones of the workloads are about a megabyte. */
+    /**
+     * The largest answer that is kept in memory, in bytes; the largest ones of the expected workloads are about a
+     * megabyte.
+     */
     private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-    /** How long an idle connection is used if the server states no limit; below the usual server's ten seconds. */
+    /**
+     * Longest idle time of a reused connection if the server states no limit; below the ten seconds after which servers
+     * typically close idle connections.
+     */
     private static final long DEFAULT_IDLE_NANOS = TimeUnit.SECONDS.toNanos(8);
-    /** Taken off the limit that the server states, for the way there. */
+    /** Deducted from the limit that the server states, for the transfer of the request. */
     private static final long IDLE_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final Consumer<HttpConnection> onReusable;
@@ -49,13 +56,15 @@
         this.onClosed = onClosed;
     }
 
-    /** Returns whether the connection can take an exchange, having been idle for no longer than the given time. */
+    /**
+     * Returns whether the connection can be used for an exchange and has been idle for no longer than the given time.
+     */
     public boolean isUsable(long maxIdleNanos, long nowNanos) {
         long idle = nowNanos - idleSinceNanos;
         return channel.isActive() && isReusable && listener.isEmpty() && idle <= Math.min(maxIdleNanos, idleLimitNanos);
     }
 
-    /** Sends a request; the listener hears how it ends. The connection must be usable. */
+    /** Sends a request; the listener receives the end of the exchange. The connection must be usable. */
     public void exchange(FullHttpRequest request, AnswerListener answerListener) {
         listener = Optional.of(answerListener);
         isRequestWritten = false;
@@ -63,7 +72,7 @@
         channel.writeAndFlush(request).addListener(written -> isRequestWritten = written.isSuccess());
     }
 
-    /** Closes the connection; the listener of an exchange under way hears nothing more. */
+    /** Closes the connection; the listener of an exchange in flight is no longer called. */
     public void close() {
         listener = Optional.empty();
         isReusable = false;
@@ -156,7 +165,9 @@
         return bytes;
     }
 
-    /** An answer is complete only at the end of a read, since bytes that belong to none may follow it. */
+    /**
+     * Releases the connection only at the end of a read, since bytes that belong to no answer may follow the answer.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (isReleasePending && channel.isActive()) {
@@ -186,7 +197,7 @@
         Optional<AnswerListener> failed = listener;
         listener = Optional.empty();
         channel.close();
-        failed.ifPresent(heard -> heard.lost(isGarbled, reason));
+        failed.ifPresent(receiver -> receiver.lost(isGarbled, reason));
     }
 
     private static long idleLimit(HttpResponse response) {
--- a/coppershelf/src/main/java/io/coppershelf/http/HttpConnector.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/HttpConnector.java
@@ -34,10 +34,10 @@
     /**
      * Opens a connection.
      *
-     * @param onOpen hears of the open connection
-     * @param onFailure hears why there is none; nothing was sent then
-     * @param onReusable hears each time the connection can be used again
-     * @param onClosed hears of the end of an open connection
+     * @param onOpen receives the open connection
+     * @param onFailure receives the cause if there is no connection; nothing was sent then
+     * @param onReusable receives the connection each time that it can be reused
+     * @param onClosed receives an open connection when it has ended
      */
     public void open(
             InetSocketAddress address,
@@ -45,7 +45,7 @@
             Consumer<Throwable> onFailure,
             Consumer<HttpConnection> onReusable,
             Consumer<HttpConnection> onClosed) {
-        HttpConnection link = new HttpConnection(onReusable, onClosed);
+        HttpConnection connection = new HttpConnection(onReusable, onClosed);
         ChannelFuture connecting = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<Channel>() {
@@ -54,13 +54,13 @@
                         channel.pipeline()
                                 .addLast(new HttpClientCodec(
                                         MAX_INITIAL_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES, false))
-                                .addLast(link);
+                                .addLast(connection);
                     }
                 })
                 .connect(address);
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                onOpen.accept(link);
+                onOpen.accept(connection);
             } else {
                 onFailure.accept(done.cause());
             }
--- a/coppershelf/src/test/java/io/coppershelf/gateway/MeteredCatalogReaderTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/gateway/MeteredCatalogReaderTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void resultsArePassedOn() {
+    void resultsAreForwarded() {
         reader.readChanges(1, Duration.ZERO, new Recorder());
         reader.readAll(new Recorder());
         reader.readConfigurationAllowingStale(1, configuration -> {}, () -> results.add("no configuration"));
