--- a/coppershelf/src/main/java/io/coppershelf/dispatch/AttemptAllocator.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/AttemptAllocator.java
@@ -16,6 +16,6 @@
     /** Returns whether the retry budget of the service has a retry left. */
     boolean canRetry();
 
-    /** Takes one retry from the retry budget of the service; returns whether any was left. */
+    /** Acquires one retry from the retry budget of the service; returns whether any was left. */
     boolean tryAcquireRetry();
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/FleetRetryBudget.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/FleetRetryBudget.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Takes one retry from the budget if any is left.
+     * Acquires one retry from the budget if any is left.
      *
      * @param fleetSize the number of VMs that serve callers
      * @return whether the request may be retried
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns whether a request may be retried, without taking the retry.
+     * Returns whether a request may be retried, without acquiring the retry.
      *
      * @param fleetSize the number of VMs that serve callers
      */
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/TypicalLatency.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/TypicalLatency.java
@@ -35,12 +35,12 @@
 
     /** Returns the time after which an answer is slow for the route. */
     public long slowNanos(Duration objective) {
-        double lowest = MIN_SLOW_SHARE * objective.toNanos();
-        double highest = MAX_SLOW_SHARE * objective.toNanos();
+        double minNanos = MIN_SLOW_SHARE * objective.toNanos();
+        double maxNanos = MAX_SLOW_SHARE * objective.toNanos();
         if (samples < WARM_UP_SAMPLES) {
-            return (long) ((lowest + highest) / 2);
+            return (long) ((minNanos + maxNanos) / 2);
         }
-        return (long) Math.min(highest, Math.max(lowest, meanNanos + SLOW_DEVIATIONS * deviationNanos));
+        return (long) Math.min(maxNanos, Math.max(minNanos, meanNanos + SLOW_DEVIATIONS * deviationNanos));
     }
 
     /** Returns the time after which the server counts as stalled. */
--- a/coppershelf/src/main/java/io/coppershelf/http/HttpConnection.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/HttpConnection.java
@@ -20,8 +20,8 @@
 
 /**
  * A client connection with one exchange at a time. It is reused only if the last exchange ended cleanly: the request
- * was written completely, the answer was delimited by its own length, no bytes followed it, and the server did not ask
- * to close the connection.
+ * was written completely, the answer was delimited by its own length, no bytes followed it, and the server did not
+ * request to close the connection.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter {
     /**
@@ -47,7 +47,7 @@
     private boolean isBroken;
     private boolean isReusable = true;
     private boolean isReleasePending;
-    private boolean hasSkipped;
+    private boolean hasSkippedAnswer;
     private long idleLimitNanos = DEFAULT_IDLE_NANOS;
     private long idleSinceNanos;
 
@@ -68,7 +68,7 @@
     public void exchange(FullHttpRequest request, AnswerListener answerListener) {
         listener = Optional.of(answerListener);
         isRequestWritten = false;
-        hasSkipped = false;
+        hasSkippedAnswer = false;
         channel.writeAndFlush(request).addListener(written -> isRequestWritten = written.isSuccess());
     }
 
@@ -143,7 +143,7 @@
         HttpAnswer answer = new HttpAnswer(response.status().code(), response.headers(), bytes);
         if (!listener.get().belongsToRequest(answer)) {
             isReusable = false;
-            hasSkipped = true;
+            hasSkippedAnswer = true;
             return;
         }
         isReusable = isReusable && isRequestWritten && HttpUtil.isKeepAlive(response) && channel.isActive();
@@ -185,7 +185,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        String state = hasSkipped ? "closed after an answer to another request" : "closed by the server";
+        String state = hasSkippedAnswer ? "closed after an answer to another request" : "closed by the server";
         fail(head.isPresent(), state);
         body.release();
         onClosed.accept(this);
--- a/coppershelf/src/main/java/io/coppershelf/mesh/LoadReporter.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/LoadReporter.java
@@ -24,7 +24,7 @@
     private final Map<Long, Integer> inFlight = new HashMap<>();
     private final Set<Long> unreported = new HashSet<>();
     private long dueNanos = Long.MAX_VALUE;
-    private long repeatedNanos;
+    private long lastRepeatNanos;
 
     /**
      * Records the number of requests that this VM has in flight at a server. Returns the time at which the report is
@@ -43,8 +43,8 @@
 
     /** Returns the report that is due, if any, and clears the recorded changes. */
     Optional<MeshMessage.Load> pollDue(long nowNanos) {
-        if (nowNanos - repeatedNanos >= REPEAT_NANOS) {
-            repeatedNanos = nowNanos;
+        if (nowNanos - lastRepeatNanos >= REPEAT_NANOS) {
+            lastRepeatNanos = nowNanos;
             unreported.addAll(inFlight.keySet());
             dueNanos = unreported.isEmpty() ? Long.MAX_VALUE : nowNanos;
         }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
@@ -28,7 +28,7 @@
     /** Size of the fleet that a VM assumes until then; about the size of the larger deployments. */
     static final int ASSUMED_FLEET_SIZE = 100;
     /** Largest number of entries of other VMs in a message, so that it fits into one packet. */
-    private static final int ENTRIES_PER_MESSAGE = 16;
+    private static final int MAX_ENTRIES_PER_MESSAGE = 16;
 
     private final InetSocketAddress self;
     private final long incarnation;
@@ -94,7 +94,7 @@
         others.removeIf(member -> member.isDown(nowNanos));
         Collections.shuffle(others, random);
         others.sort(Comparator.comparingLong(member -> nowNanos - member.updatedAtNanos));
-        int limit = isComplete ? others.size() : Math.min(ENTRIES_PER_MESSAGE, others.size());
+        int limit = isComplete ? others.size() : Math.min(MAX_ENTRIES_PER_MESSAGE, others.size());
         List<MemberEntry> entries = new ArrayList<>();
         entries.add(new MemberEntry(self, incarnation, heartbeat, isLeaving));
         others.subList(0, limit).forEach(member -> entries.add(member.entry));
--- a/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/RequestExecution.java
@@ -186,14 +186,14 @@
     }
 
     private void write(ServerAttempt attempt, HttpConnection connection) {
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
         boolean isDrained = context.state()
                 .catalog()
                 .servers()
                 .server(attempt.server().id())
                 .filter(known -> known.isAccepting() && known.isSameIncarnation(attempt.server()))
                 .isEmpty();
-        if (attempt.isEnded() || isEnded || isDrained || leftMillis <= 0) {
+        if (attempt.isEnded() || isEnded || isDrained || remainingMillis <= 0) {
             connection.close();
             attempt.notSent(isDrained ? "the server is leaving" : "no time is left");
             return;
@@ -204,14 +204,14 @@
                 request.method(),
                 request.uri(),
                 Unpooled.wrappedBuffer(request.body()),
-                headersFor(attempt.server(), leftMillis),
+                headersFor(attempt.server(), remainingMillis),
                 new DefaultHttpHeaders());
         connection.exchange(outgoing, attempt);
     }
 
-    private HttpHeaders headersFor(BackendServer server, long leftMillis) {
+    private HttpHeaders headersFor(BackendServer server, long remainingMillis) {
         HttpHeaders headers = EndToEndHeaders.copy(request.headers());
-        headers.set(context.names().deadlineMillis(), Long.toString(leftMillis));
+        headers.set(context.names().deadlineMillis(), Long.toString(remainingMillis));
         headers.set(context.names().targetServer(), server.id());
         if (request.body().length > 0 || EndToEndHeaders.declaresBody(request.headers())) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(request.body().length));
--- a/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
@@ -27,11 +27,11 @@
 
     @Test
     void truncatedMessagesAreRefused() {
-        byte[] whole = MeshCodec.encode(
+        byte[] complete = MeshCodec.encode(
                 new MeshMessage.CatalogUpdate(1, 2, 3, 40, List.of(Catalogs.server("a", "here")), List.of("b")));
-        for (int length = 0; length < whole.length; length++) {
-            byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> MeshCodec.decode(part));
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThrows(IOException.class, () -> MeshCodec.decode(truncated));
         }
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/mesh/SnapshotCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/SnapshotCodecTest.java
@@ -34,10 +34,10 @@
 
     @Test
     void truncatedSnapshotsAreRefused() {
-        byte[] whole = SnapshotCodec.encode(Optional.of(Snapshots.of(7)));
-        for (int length = 0; length < whole.length; length++) {
-            byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> SnapshotCodec.decode(part));
+        byte[] complete = SnapshotCodec.encode(Optional.of(Snapshots.of(7)));
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThrows(IOException.class, () -> SnapshotCodec.decode(truncated));
         }
     }
 
