--- a/coppershelf/src/test/java/io/coppershelf/dispatch/IdleServerTrackerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/IdleServerTrackerTest.java
@@ -57,8 +57,8 @@
         assertThat(idle(true, later)).doesNotContain(servers.get(1));
     }
 
-    private List<BackendServer> idle(boolean isLastChance, long nowNanos) {
-        return tracker.idleServers(servers, server -> FleetLoad.codeOf(server.key()), isLastChance, nowNanos);
+    private List<BackendServer> idle(boolean isLastAttempt, long nowNanos) {
+        return tracker.idleServers(servers, server -> FleetLoad.codeOf(server.key()), isLastAttempt, nowNanos);
     }
 
     private void send(int server, int count) {
