--- a/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/MeshCodecTest.java
@@ -13,7 +13,7 @@
 
 final class MeshCodecTest {
     @Test
-    void everyMessageIsReadAsItWasWritten() throws IOException {
+    void everyMessageIsDecodedAsItWasEncoded() throws IOException {
         List<MeshMessage> messages = List.of(
                 new MeshMessage.Members(
                         List.of(new MemberEntry(new InetSocketAddress("127.0.0.1", 7), 3, 4, true)), true),
@@ -27,11 +27,11 @@
 
     @Test
     void truncatedMessagesAreRefused() {
-        byte[] whole = MeshCodec.encode(
+        byte[] complete = MeshCodec.encode(
                 new MeshMessage.CatalogUpdate(1, 2, 3, 40, List.of(Catalogs.server("a", "here")), List.of("b")));
-        for (int length = 0; length < whole.length; length++) {
-            byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> MeshCodec.decode(part));
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThrows(IOException.class, () -> MeshCodec.decode(truncated));
         }
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/mesh/SnapshotCodecTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/SnapshotCodecTest.java
@@ -11,7 +11,7 @@
 
 final class SnapshotCodecTest {
     @Test
-    void snapshotIsReadAsItWasWritten() throws IOException {
+    void snapshotIsDecodedAsItWasEncoded() throws IOException {
         Snapshot written = Snapshots.of(7);
         Snapshot read =
                 SnapshotCodec.decode(SnapshotCodec.encode(Optional.of(written))).orElseThrow();
@@ -28,16 +28,16 @@
     }
 
     @Test
-    void nothingInForceIsReadAsEmpty() throws IOException {
+    void nothingInForceIsDecodedAsEmpty() throws IOException {
         assertThat(SnapshotCodec.decode(SnapshotCodec.encode(Optional.empty()))).isEmpty();
     }
 
     @Test
     void truncatedSnapshotsAreRefused() {
-        byte[] whole = SnapshotCodec.encode(Optional.of(Snapshots.of(7)));
-        for (int length = 0; length < whole.length; length++) {
-            byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> SnapshotCodec.decode(part));
+        byte[] complete = SnapshotCodec.encode(Optional.of(Snapshots.of(7)));
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThrows(IOException.class, () -> SnapshotCodec.decode(truncated));
         }
     }
 
