--- a/models/at-most-once.pml
+++ b/models/at-most-once.pml
@@ -1,19 +1,19 @@
 /*
- * At most once, and the truth about it: one key, two attempts through two entry VMs, five holders of the key,
- * owner VMs, one backend server.
+ * At-most-once execution with correct results: the same request with one idempotency key arrives at two entry VMs, each of
+ * which claims the key for its attempt at five holders and forwards the attempt to an owner VM, which dispatches it to one
+ * backend server.
  *
- * Holders that keep their memory are alike, so that only the number of them in each state is kept. The others are named;
- * each restarts at most once.
+ * Holders that never restart are interchangeable, so the model keeps only the number of them in each state. The NAMED
+ * others are modelled one by one; each restarts at most once.
  *
- * Steps, named as in the code: Receive, ClaimRequest, ClaimCompletion, GiveUpClaim, Forward, OwnerReceives, OwnerRefuses,
- * Dispatch, ServerReceives, ServerRuns, Cancel, ServerAnswers, Reply, GiveUp, EntryLost, OwnerLost, HolderRestart,
- * HolderPull.
+ * Steps: Receive, ClaimRequest, ClaimCompletion, ClaimTimeout, Forward, OwnerReceives, OwnerRefuses, Dispatch,
+ * ServerReceives, ServerRuns, Cancel, ServerAnswers, Reply, ReplyTimeout, EntryLost, OwnerLost, HolderRestart, HolderPull.
  * A message in flight may be handled late or never; replies to claims may be lost.
  *
  * Properties:
  *   P1  the request runs at most once, over all attempts;
- *   P2  an attempt that was told as not run never ran and never will;
- *   P3  an attempt that was told as run ran.
+ *   P2  an attempt that was reported as not run has not run and never will;
+ *   P3  an attempt that was reported as run has run.
  *
  * bounds: 2 attempts by 2 entry VMs, 5 holders of which NAMED may restart once each, 1 entry VM and 1 owner lost
  * check: right NAMED=0
@@ -34,16 +34,16 @@
 #define QUORUM 4
 #endif
 #define HOLDERS 5
-#define STATES 16    /* of a holder: 4 * what it knows of attempt 0 + what it knows of attempt 1 */
+#define STATES 16    /* of a holder: 4 * its record of attempt 0 + its record of attempt 1 */
 #define SLOTS (NAMED + 1)
 
-/* What a holder knows of an attempt; a larger one replaces a smaller one. */
-#define UNHEARD 0
+/* The record that a holder has of an attempt; a larger value replaces a smaller one. */
+#define UNHEARD 0    /* no record */
 #define RUNNING 1
 #define NOT_RUN 2
-#define DONE 3       /* ran, or ended without anyone knowing whether it ran */
+#define DONE 3       /* ran, or ended with an unknown outcome */
 
-/* The steps of an attempt at its entry VM. */
+/* The states of an attempt at its entry VM. */
 #define IDLE 0
 #define CLAIMING 1
 #define CLAIMED 2
@@ -51,26 +51,26 @@
 #define ENDED 4
 #define LOST 5
 
-byte entry[2];               /* step of the attempt */
-byte accepted[2];            /* holders that the entry VM knows to have accepted */
-byte told[2];                /* what the caller was told: UNHEARD nothing or unknown, NOT_RUN, DONE ran */
-byte ending[2];              /* what the holders are told of the end, UNHEARD if nothing */
-byte holders[STATES];        /* unnamed holders in each state */
-byte named[2 * SLOTS];       /* what a named holder knows: 2 * holder + attempt */
-bit asked[2 * SLOTS];        /* the request of the claim has reached it, in any of its lives */
-bit history[SLOTS] = 1;      /* it may accept */
+byte attemptState[2];         /* one of the states above */
+byte acceptances[2];          /* holders whose acceptance has reached the entry VM */
+byte reported[2];             /* outcome reported to the caller: UNHEARD none or unknown, NOT_RUN, DONE ran */
+byte announcedEnd[2];         /* end of the attempt that is announced to the holders, UNHEARD if none */
+byte holders[STATES];         /* unnamed holders in each state */
+byte named[2 * SLOTS];        /* record of a named holder: 2 * holder + attempt */
+bit claimReceived[2 * SLOTS]; /* the claim request has reached it, before or after its restart */
+bit historyKnown[SLOTS] = 1;  /* it has the claim history that it needs to accept claims */
 bit restarted[SLOTS];
 
-byte forwards[2];            /* forwards in flight to an owner */
-byte queued[2];              /* owners that hold the attempt */
-byte dispatched[2];          /* dispatches in flight to the server */
-byte atServer[2];            /* dispatches that the server has received and not started */
+byte forwards[2];   /* forwards in flight to an owner */
+byte queued[2];     /* owners that hold the attempt */
+byte dispatched[2]; /* dispatches in flight to the server */
+byte atServer[2];   /* dispatches that the server has received and not started */
 bit ran[2];
 byte runs;
-byte reply[2];               /* reply in flight to the entry VM: UNHEARD none, NOT_RUN, DONE */
+byte reply[2]; /* reply in flight to the entry VM: UNHEARD none, NOT_RUN, DONE */
 
 #ifdef FORWARD_AGAIN
-bit again[2];
+bit forwardedTwice[2];
 #endif
 
 byte entriesToLose = 1;
@@ -79,34 +79,34 @@
 #define OTHER(a) (1 - a)
 #define KNOWN(state, a) (a == 0 -> state / 4 : state % 4)
 #define WEIGHT(a) (a == 0 -> 4 : 1)
-#define IS_FREE(what) (what == UNHEARD || what == NOT_RUN)
+#define IS_FREE(outcome) (outcome == UNHEARD || outcome == NOT_RUN)
 
-inline Tell(a, what) {
-    told[a] = what;
-    assert(!(what == NOT_RUN && ran[a]));                                 /* P2 */
-    assert(!(what == DONE && !ran[a]))                                    /* P3 */
+inline Report(a, outcome) {
+    reported[a] = outcome;
+    assert(!(outcome == NOT_RUN && ran[a]));                              /* P2 */
+    assert(!(outcome == DONE && !ran[a]))                                 /* P3 */
 }
 
 inline End(a, toHolders) {
-    entry[a] = ENDED;
-    ending[a] = toHolders
+    attemptState[a] = ENDED;
+    announcedEnd[a] = toHolders
 }
 
 inline Accept(a) {
     if
-    :: entry[a] == CLAIMING ->
-        accepted[a]++;
+    :: attemptState[a] == CLAIMING ->
+        acceptances[a]++;
         if
-        :: accepted[a] >= QUORUM -> entry[a] = CLAIMED
+        :: acceptances[a] >= QUORUM -> attemptState[a] = CLAIMED
         :: else -> skip
         fi
     :: else -> skip
     fi
 }
 
-#define CLAIM_SENT(a) (entry[a] != IDLE && entry[a] != LOST)
+#define CLAIM_SENT(a) (attemptState[a] != IDLE && attemptState[a] != LOST)
 
-/* A holder handles the request of a claim: at once, late, and with its answer heard while the claim is open. */
+/* A holder handles a claim request, at once or late; its reply counts only while the claim is open. */
 inline ClaimRequest(state, a) {
     d_step {
         holders[state] > 0 && CLAIM_SENT(a) && KNOWN(state, a) == UNHEARD && IS_FREE(KNOWN(state, OTHER(a))) ->
@@ -119,17 +119,18 @@
 /* A holder refuses, since another attempt may have run; the entry VM ends the attempt. */
 inline ClaimRefused(state, a) {
     d_step {
-        holders[state] > 0 && entry[a] == CLAIMING && KNOWN(state, a) == UNHEARD && !IS_FREE(KNOWN(state, OTHER(a))) ->
+        holders[state] > 0 && attemptState[a] == CLAIMING &&
+            KNOWN(state, a) == UNHEARD && !IS_FREE(KNOWN(state, OTHER(a))) ->
             End(a, NOT_RUN)
     }
 }
 
-/* A holder learns the end of an attempt. */
+/* A holder receives the end of an attempt. */
 inline ClaimCompletion(state, a) {
     d_step {
-        holders[state] > 0 && ending[a] > KNOWN(state, a) ->
+        holders[state] > 0 && announcedEnd[a] > KNOWN(state, a) ->
             holders[state]--;
-            holders[WEIGHT(a) * ending[a] + WEIGHT(OTHER(a)) * KNOWN(state, OTHER(a))]++
+            holders[WEIGHT(a) * announcedEnd[a] + WEIGHT(OTHER(a)) * KNOWN(state, OTHER(a))]++
     }
 }
 
@@ -137,39 +138,42 @@
     byte me = _pid;
 end:
     do
-    :: d_step { entry[me] == IDLE && (me == 0 || entry[0] != IDLE) -> entry[me] = CLAIMING }       /* Receive */
+    :: d_step { attemptState[me] == IDLE && (me == 0 || attemptState[0] != IDLE) -> attemptState[me] = CLAIMING }       /* Receive */
 #ifdef NO_CLAIM
-    :: d_step { entry[me] == CLAIMING -> entry[me] = CLAIMED }
+    :: d_step { attemptState[me] == CLAIMING -> attemptState[me] = CLAIMED }
 #endif
-    /* GiveUpClaim: too few holders answered in time. */
-    :: d_step { entry[me] == CLAIMING -> Tell(me, NOT_RUN); End(me, NOT_RUN) }
-    /* Forward, to any owner; not sent at all: refused with proof. */
-    :: d_step { entry[me] == CLAIMED -> entry[me] = FORWARDED; forwards[me] = 1 }
-    :: d_step { entry[me] == CLAIMED -> Tell(me, NOT_RUN); End(me, NOT_RUN) }
+    /* ClaimTimeout: too few holders replied in time. */
+    :: d_step { attemptState[me] == CLAIMING -> Report(me, NOT_RUN); End(me, NOT_RUN) }
+    /* Forward, to any owner. If nothing could be sent, the attempt is known not to have run. */
+    :: d_step { attemptState[me] == CLAIMED -> attemptState[me] = FORWARDED; forwards[me] = 1 }
+    :: d_step { attemptState[me] == CLAIMED -> Report(me, NOT_RUN); End(me, NOT_RUN) }
 #ifdef FORWARD_AGAIN
-    :: d_step { entry[me] == FORWARDED && !again[me] -> forwards[me]++; again[me] = 1 }
+    :: d_step { attemptState[me] == FORWARDED && !forwardedTwice[me] -> forwards[me]++; forwardedTwice[me] = 1 }
 #endif
     /* Reply. */
     :: d_step {
-        entry[me] == FORWARDED && reply[me] != UNHEARD ->
-            Tell(me, reply[me]); End(me, reply[me]); reply[me] = UNHEARD
+        attemptState[me] == FORWARDED && reply[me] != UNHEARD ->
+            Report(me, reply[me]); End(me, reply[me]); reply[me] = UNHEARD
        }
-    /* GiveUp: the deadline passed or the owner was lost; the outcome is unknown. */
+    /* ReplyTimeout: the deadline passed or the owner was lost; the outcome is unknown. */
 #ifdef LOST_IS_NOT_RUN
-    :: d_step { entry[me] == FORWARDED -> Tell(me, NOT_RUN); End(me, NOT_RUN) }
+    :: d_step { attemptState[me] == FORWARDED -> Report(me, NOT_RUN); End(me, NOT_RUN) }
 #elif defined(UNKNOWN_FREES)
-    :: d_step { entry[me] == FORWARDED -> End(me, NOT_RUN) }
+    :: d_step { attemptState[me] == FORWARDED -> End(me, NOT_RUN) }
 #else
-    :: d_step { entry[me] == FORWARDED -> End(me, DONE) }
+    :: d_step { attemptState[me] == FORWARDED -> End(me, DONE) }
 #endif
 #ifdef GIVEN_UP_GOES_ON
-    /* A late answer of a holder lets a claim that was given up go on. */
-    :: d_step { entry[me] == ENDED && told[me] == NOT_RUN && accepted[me] == QUORUM - 1 -> entry[me] = CLAIMED }
+    /* A late reply of a holder completes a claim that has already timed out. */
+    :: d_step {
+        attemptState[me] == ENDED && reported[me] == NOT_RUN && acceptances[me] == QUORUM - 1 ->
+            attemptState[me] = CLAIMED
+       }
 #endif
     /* EntryLost. */
     :: d_step {
-        entriesToLose > 0 && entry[me] > IDLE && entry[me] < ENDED ->
-            entriesToLose--; entry[me] = LOST; reply[me] = UNHEARD
+        entriesToLose > 0 && attemptState[me] > IDLE && attemptState[me] < ENDED ->
+            entriesToLose--; attemptState[me] = LOST; reply[me] = UNHEARD
        }
     od
 }
@@ -211,8 +215,9 @@
 #if NAMED > 0
 inline NamedClaimRequest(h, a) {
     d_step {
-        CLAIM_SENT(a) && !asked[2 * h + a] && history[h] && named[2 * h + a] == UNHEARD && IS_FREE(named[2 * h + OTHER(a)]) ->
-            asked[2 * h + a] = 1;
+        CLAIM_SENT(a) && !claimReceived[2 * h + a] && historyKnown[h] &&
+            named[2 * h + a] == UNHEARD && IS_FREE(named[2 * h + OTHER(a)]) ->
+            claimReceived[2 * h + a] = 1;
             named[2 * h + a] = RUNNING;
             Accept(a)
     }
@@ -220,13 +225,13 @@
 
 inline NamedClaimRefused(h, a) {
     d_step {
-        entry[a] == CLAIMING && !asked[2 * h + a] && history[h] && !IS_FREE(named[2 * h + OTHER(a)]) ->
+        attemptState[a] == CLAIMING && !claimReceived[2 * h + a] && historyKnown[h] && !IS_FREE(named[2 * h + OTHER(a)]) ->
             End(a, NOT_RUN)
     }
 }
 
 inline NamedClaimCompletion(h, a) {
-    d_step { ending[a] > named[2 * h + a] -> named[2 * h + a] = ending[a] }
+    d_step { announcedEnd[a] > named[2 * h + a] -> named[2 * h + a] = announcedEnd[a] }
 }
 
 #define MAX(x, y) (x > y -> x : y)
@@ -237,15 +242,15 @@
 }
 
 /*
- * HolderPull: the new holder counts as lost, and of those that may be lost or not answer there are three; so two others
- * that know have answered.
+ * HolderPull: at most three holders may be lost or not reply, the restarted one included. So it needs the records of two
+ * others that have their history.
  */
 inline HolderPull(h, one, other) {
     d_step {
-        !history[h] && holders[one] > (one == other) && holders[other] > 0 ->
+        !historyKnown[h] && holders[one] > (one == other) && holders[other] > 0 ->
             Merge(h, one);
             Merge(h, other);
-            history[h] = 1
+            historyKnown[h] = 1
     }
 }
 
@@ -280,13 +285,13 @@
     :: NamedClaimRefused(me, 1)
     :: NamedClaimCompletion(me, 0)
     :: NamedClaimCompletion(me, 1)
-    /* HolderRestart: without memory; it accepts nothing before its pull. */
+    /* HolderRestart: it loses its records, and accepts nothing before HolderPull. */
     :: d_step {
         !restarted[me] ->
             restarted[me] = 1;
             named[2 * me] = UNHEARD; named[2 * me + 1] = UNHEARD;
 #ifndef NO_PULL
-            history[me] = 0
+            historyKnown[me] = 0
 #endif
        }
     :: HolderPullWith(me, 0)
@@ -317,7 +322,7 @@
     :: d_step { queued[a] > 0 -> queued[a]--; reply[a] = NOT_RUN }
     /* Dispatch. */
     :: d_step { queued[a] > 0 -> queued[a]--; dispatched[a]++ }
-    /* OwnerLost: with what it holds or what is on its way to it. */
+    /* OwnerLost: with the attempts that it holds or that are in flight to it. */
     :: d_step { ownersToLose > 0 && forwards[a] > 0 -> ownersToLose--; forwards[a]-- }
     :: d_step { ownersToLose > 0 && queued[a] > 0 -> ownersToLose--; queued[a]-- }
     fi
@@ -342,16 +347,16 @@
             ran[a] = 1;
             runs++;
             assert(runs <= 1);                                            /* P1 */
-            assert(told[a] != NOT_RUN)                                    /* P2 */
+            assert(reported[a] != NOT_RUN)                                /* P2 */
        }
-    /* Cancel: the server gives its word that it had received the attempt and not started it. */
+    /* Cancel: the server confirms that it has received the attempt and not started it. */
     :: d_step { atServer[a] > 0 && reply[a] == UNHEARD -> atServer[a]--; reply[a] = NOT_RUN }
 #ifdef CANCEL_UNSEEN
-    /* The server says of an attempt that it has not seen that it has not started it. */
+    /* The server confirms that it has not started an attempt that it has not received yet. */
     :: d_step { dispatched[a] > 0 && reply[a] == UNHEARD -> reply[a] = NOT_RUN }
 #endif
     /* ServerAnswers. */
-    :: d_step { ran[a] && entry[a] == FORWARDED && reply[a] == UNHEARD -> reply[a] = DONE }
+    :: d_step { ran[a] && attemptState[a] == FORWARDED && reply[a] == UNHEARD -> reply[a] = DONE }
     fi
 }
 
@@ -361,7 +366,7 @@
     :: Server(0)
     :: Server(1)
 #ifdef REACH_SECOND_RUN
-    /* Not vacuous: the second attempt can run, after the first was proved not to have run. */
+    /* Reachability: the second attempt can run after the first one has been proved not to have run. */
     :: d_step { ran[1] -> assert(false) }
 #endif
     od
--- a/models/floor.pml
+++ b/models/floor.pml
@@ -1,24 +1,29 @@
 /*
- * The floor's right: at most ALLOWANCE servers of a service are ejected at once, over the whole fleet.
+ * The grants that protect the floor: over the whole fleet, no more servers of a service are ejected at once
+ * than its allowance. A grant is the time-limited right to eject one server.
  *
- * Two candidates for granter, two holders with one server each, three shared voters. Each candidate's voter set has two
- * more members that the other one's has not (two views of the list that differ in two of five voters). These always vote
- * for their candidate, which is the worst case, so that of its four votes QUORUM = 2 come from the three shared voters.
+ * The model has two candidates for granter, two holders with one server each, and three voters that both candidates share.
+ * The voter set of each candidate has two more members, which the other one's set lacks (two views of the VM list that
+ * differ in two of five voters). These always vote for their candidate, which is the worst case, so QUORUM = 2 of the four
+ * votes that a candidate needs come from the three shared voters.
  *
- * A promise is a timer in ticks. Who uses it counts from before it asked, who gave it from receipt. Clock rates are not
- * part of this model; GIVER_SHORT shows what a giver does that counts less than the user. A pause is a process that does
- * nothing while time passes. A split is a set of messages that are lost.
+ * Votes (leases) and grants are timers in ticks. The process that uses one counts from before its request, the process that
+ * issued it counts from the receipt of the request. Clock rates are not part of this model; GIVER_SHORT shows the effect of
+ * an issuer that counts a shorter time than the user. A pause is a process that takes no step while time passes. A network
+ * partition is a set of messages that are lost.
  *
- * The lease is generalised: a candidate is granter while promises of QUORUM voters are live, each with its own time.
+ * The lease is generalised: a candidate is granter while it may use the votes of QUORUM voters, each with its own time.
  * A lease by rounds, as in the code, ends no later.
  *
- * A vote that its candidate hears late (LATE_VOTES) or never only shortens what the candidate may use.
+ * A vote that its candidate receives late (LATE_VOTES) or never only shortens the time for which the candidate may use it.
  *
- * Steps, named as in the code: VoteRequest, RightRequest, RightReply, RightRelease, Restart, ChangeView, LearnTicket.
+ * Steps: VoteRequest, GrantRequest, GrantReply, GrantRelease, Restart, ChangeView, LearnTicket. Messages are named as in the
+ * code.
  *
  * Properties:
- *   P1  never more live rights than the allowance;
- *   P2  (RAISE, where the voters change their view together) once every process knows the ticket that lowers the allowance, no more rights than that are live.
+ *   P1  never more live grants than the allowance;
+ *   P2  (RAISE, where the voters change their view together) once every process knows the ticket that lowers the allowance,
+ *       no more grants than that are live.
  *
  * bounds: 2 candidates, 2 holders, 3 shared of 7 voters, 2 views, lease and grant of 2 ticks, time unbounded, restarts as given, messages lost, late up to a grant
  * check: right RESTARTS=1
@@ -53,41 +58,41 @@
 #else
 #define ABSTENTION LEASE
 #endif
-#define NONE 3       /* no request under way */
+#define NONE 3       /* no vote, or no request in progress */
 
-byte vote[3] = NONE; /* the candidate that has the voter's vote */
+byte vote[3] = NONE; /* the candidate for which the voter has voted */
 byte voteLeft[3];    /* ticks until the vote ends */
 byte abstain[3];     /* ticks until the voter votes again */
-bit view[3];         /* the voter set in the view of the voter, named by its candidate */
+bit view[3];         /* the candidate whose voter set is the voter's current view */
 
-byte promise[6];     /* ticks for which a candidate may use the vote of a voter: 3 * candidate + voter */
-byte takeover[2];    /* ticks in which a candidate only renews */
-byte ledger[4];      /* ticks for which a candidate counts the right of a holder: 2 * candidate + holder */
+byte usableVote[6];   /* ticks for which a candidate may use the vote of a voter: 3 * candidate + voter */
+byte takeover[2];     /* ticks in which a candidate only renews */
+byte countedGrant[4]; /* ticks for which a candidate counts the grant of a holder: 2 * candidate + holder */
 
-byte right[2];       /* ticks for which the holder may use its right */
-byte age[2] = NONE;  /* ticks since the holder asked */
-bit live[2];         /* whether its right was live then */
-byte reply[2];       /* 0 none, 1 + candidate: a grant is on its way */
+byte usableGrant[2];       /* ticks for which the holder may use its grant */
+byte requestAge[2] = NONE; /* ticks since the holder's request */
+bit liveAtRequest[2];      /* whether its grant was live at the request */
+byte reply[2];             /* grant in flight: 0 none, otherwise 1 + candidate */
 #ifdef REACH_RENEWAL_BY_OTHER
-byte source[2] = NONE; /* the candidate that granted last */
+byte grantedBy[2] = NONE; /* the candidate that issued the last grant */
 #endif
 
 byte restarts = RESTARTS;
 #ifdef RELEASES
-bit released[4];     /* a release is on its way */
+bit releaseInFlight[4]; /* 2 * candidate + holder */
 #endif
 #ifdef RAISE
-bit knows[4];        /* candidate 0, 1, holder 0, 1 know the ticket */
-#define ALLOWANCE_OF(p) (knows[p] -> 1 : 2)
+bit ticketKnown[4]; /* whether candidate 0, 1, holder 0, 1 know the ticket */
+#define ALLOWANCE_OF(p) (ticketKnown[p] -> 1 : 2)
 #else
 #define ALLOWANCE_OF(p) 1
 #endif
 
-#define HELD0 ((promise[0] > 0) + (promise[1] > 0) + (promise[2] > 0) >= QUORUM)
-#define HELD1 ((promise[3] > 0) + (promise[4] > 0) + (promise[5] > 0) >= QUORUM)
+#define HELD0 ((usableVote[0] > 0) + (usableVote[1] > 0) + (usableVote[2] > 0) >= QUORUM)
+#define HELD1 ((usableVote[3] > 0) + (usableVote[4] > 0) + (usableVote[5] > 0) >= QUORUM)
 #define HELD(c) ((c == 0 && HELD0) || (c == 1 && HELD1))
 #ifdef NO_LEASE_CHECK
-#define MAY_DECIDE(c) (HELD(c) || ledger[2 * c] > 0 || ledger[2 * c + 1] > 0)
+#define MAY_DECIDE(c) (HELD(c) || countedGrant[2 * c] > 0 || countedGrant[2 * c + 1] > 0)
 #else
 #define MAY_DECIDE(c) HELD(c)
 #endif
@@ -100,23 +105,23 @@
 #endif
 
 #ifdef RAISE
-#define SAFE !(right[0] > 0 && right[1] > 0 && knows[0] && knows[1] && knows[2] && knows[3])  /* P2 */
+#define SAFE !(usableGrant[0] > 0 && usableGrant[1] > 0 && ticketKnown[0] && ticketKnown[1] && ticketKnown[2] && ticketKnown[3])  /* P2 */
 #else
-#define SAFE !(right[0] > 0 && right[1] > 0)  /* P1 */
+#define SAFE !(usableGrant[0] > 0 && usableGrant[1] > 0)  /* P1 */
 #endif
 
 #define MAY_VOTE(i, c) (view[i] == c && abstain[i] == 0 && (vote[i] == c || voteLeft[i] == 0))
 
-/* The voter gives its vote; the candidate hears it after so many ticks that `left` are left of it. */
+/* The voter votes for the candidate, which receives the vote when it may use it for `left` more ticks. */
 inline VoteRequest(i, c, left) {
     d_step {
-        MAY_VOTE(i, c) && promise[3 * c + i] < left ->
+        MAY_VOTE(i, c) && usableVote[3 * c + i] < left ->
             vote[i] = c;
             voteLeft[i] = LEASE;
             if
-            :: HELD(c) -> promise[3 * c + i] = left
+            :: HELD(c) -> usableVote[3 * c + i] = left
             :: else ->
-                promise[3 * c + i] = left;
+                usableVote[3 * c + i] = left;
                 if
                 :: HELD(c) -> takeover[c] = TAKEOVER
                 :: else -> skip
@@ -134,7 +139,7 @@
     :: VoteRequest(me, 0, LEASE - 1)
     :: VoteRequest(me, 1, LEASE - 1)
 #endif
-    /* ChangeView: from the list of candidate 0 to that of candidate 1; the vote stays. */
+    /* ChangeView: from the voter set of candidate 0 to that of candidate 1; the vote stays. */
 #ifdef RAISE
     :: d_step {
         me == 0 && view[0] == 0 ->
@@ -152,7 +157,7 @@
 #endif
        }
 #endif
-    /* Restart without memory, with the list of either candidate. */
+    /* Restart: loses its state; its view may be the voter set of either candidate. */
     :: d_step { restarts > 0 -> restarts--; vote[me] = NONE; voteLeft[me] = 0; abstain[me] = ABSTENTION }
     :: d_step {
         restarts > 0 && view[me] == 0 ->
@@ -162,24 +167,24 @@
 }
 
 #ifdef RENEW_COUNTED
-#define MAY_GRANT(c, h) (takeover[c] == 0 || live[h] || ledger[2 * c + h] > 0)
+#define MAY_GRANT(c, h) (takeover[c] == 0 || liveAtRequest[h] || countedGrant[2 * c + h] > 0)
 #else
-#define MAY_GRANT(c, h) (takeover[c] == 0 || live[h])
+#define MAY_GRANT(c, h) (takeover[c] == 0 || liveAtRequest[h])
 #endif
 
 #if defined(RELEASES) && !defined(ANY_RELEASE)
-#define FORGET_RELEASE(c, h) released[2 * c + h] = 0
+#define FORGET_RELEASE(c, h) releaseInFlight[2 * c + h] = 0
 #else
 #define FORGET_RELEASE(c, h) skip
 #endif
 
 /* The candidate decides on the request of a holder. */
-inline RightRequest(c, h) {
+inline GrantRequest(c, h) {
     d_step {
-        age[h] < GRANT && reply[h] == 0 && MAY_DECIDE(c) &&
+        requestAge[h] < GRANT && reply[h] == 0 && MAY_DECIDE(c) &&
             MAY_GRANT(c, h) &&
-            (ledger[2 * c + OTHER(h)] == 0 || (ALLOWANCE_OF(c) == 2 && ALLOWANCE_OF(2 + h) == 2)) ->
-            ledger[2 * c + h] = GIVEN_GRANT;
+            (countedGrant[2 * c + OTHER(h)] == 0 || (ALLOWANCE_OF(c) == 2 && ALLOWANCE_OF(2 + h) == 2)) ->
+            countedGrant[2 * c + h] = GIVEN_GRANT;
             FORGET_RELEASE(c, h);
             reply[h] = 1 + c
     }
@@ -188,22 +193,22 @@
 active [2] proctype Candidate() {
     byte me = _pid - 3;
     do
-    :: RightRequest(me, 0)
-    :: RightRequest(me, 1)
+    :: GrantRequest(me, 0)
+    :: GrantRequest(me, 1)
 #ifdef RELEASES
-    :: d_step { released[2 * me] -> released[2 * me] = 0; ledger[2 * me] = 0 }
-    :: d_step { released[2 * me + 1] -> released[2 * me + 1] = 0; ledger[2 * me + 1] = 0 }
+    :: d_step { releaseInFlight[2 * me] -> releaseInFlight[2 * me] = 0; countedGrant[2 * me] = 0 }
+    :: d_step { releaseInFlight[2 * me + 1] -> releaseInFlight[2 * me + 1] = 0; countedGrant[2 * me + 1] = 0 }
 #endif
 #ifdef RAISE
-    :: d_step { !knows[me] -> knows[me] = 1; assert(SAFE) }
+    :: d_step { !ticketKnown[me] -> ticketKnown[me] = 1; assert(SAFE) }
 #endif
     :: d_step {
         restarts > 0 ->
             restarts--;
-            ledger[2 * me] = 0; ledger[2 * me + 1] = 0; takeover[me] = 0;
+            countedGrant[2 * me] = 0; countedGrant[2 * me + 1] = 0; takeover[me] = 0;
             if
-            :: me == 0 -> promise[0] = 0; promise[1] = 0; promise[2] = 0
-            :: else -> promise[3] = 0; promise[4] = 0; promise[5] = 0
+            :: me == 0 -> usableVote[0] = 0; usableVote[1] = 0; usableVote[2] = 0
+            :: else -> usableVote[3] = 0; usableVote[4] = 0; usableVote[5] = 0
             fi
        }
     od
@@ -212,77 +217,80 @@
 active [2] proctype Holder() {
     byte me = _pid - 5;
     do
-    /* Ask for the right, or renew it; answers to earlier requests are ignored. */
-    :: d_step { age[me] == NONE && right[me] < GRANT -> age[me] = 0; live[me] = (right[me] > 0); reply[me] = 0 }
-    /* RightReply. */
+    /* Request a grant or renew it; replies to earlier requests are ignored. */
     :: d_step {
-        age[me] < GRANT && reply[me] > 0 ->
+        requestAge[me] == NONE && usableGrant[me] < GRANT ->
+            requestAge[me] = 0; liveAtRequest[me] = (usableGrant[me] > 0); reply[me] = 0
+       }
+    /* GrantReply. */
+    :: d_step {
+        requestAge[me] < GRANT && reply[me] > 0 ->
             if
 #ifndef PROLONG_LAPSED
-            :: live[me] && right[me] == 0 -> skip
+            :: liveAtRequest[me] && usableGrant[me] == 0 -> skip
 #endif
             :: else ->
 #ifdef REACH_RENEWAL_BY_OTHER
-                assert(!(right[me] > 0 && source[me] != reply[me] - 1));
-                source[me] = reply[me] - 1;
+                assert(!(usableGrant[me] > 0 && grantedBy[me] != reply[me] - 1));
+                grantedBy[me] = reply[me] - 1;
 #endif
 #ifdef COUNT_FROM_RECEIPT
-                right[me] = GRANT
+                usableGrant[me] = GRANT
 #else
-                right[me] = GRANT - age[me]
+                usableGrant[me] = GRANT - requestAge[me]
 #endif
             fi;
-            age[me] = NONE; live[me] = 0; reply[me] = 0;
+            requestAge[me] = NONE; liveAtRequest[me] = 0; reply[me] = 0;
             assert(SAFE)
        }
-    /* The request or its answer is lost, or the holder gives up waiting. */
-    :: d_step { age[me] != NONE -> age[me] = NONE; live[me] = 0; reply[me] = 0 }
+    /* The request or its reply is lost, or the request times out at the holder. */
+    :: d_step { requestAge[me] != NONE -> requestAge[me] = NONE; liveAtRequest[me] = 0; reply[me] = 0 }
 #ifdef RELEASES
     :: d_step {
-        right[me] > 0 ->
-            right[me] = 0; age[me] = NONE; live[me] = 0; reply[me] = 0;
-            released[me] = 1; released[2 + me] = 1
+        usableGrant[me] > 0 ->
+            usableGrant[me] = 0; requestAge[me] = NONE; liveAtRequest[me] = 0; reply[me] = 0;
+            releaseInFlight[me] = 1; releaseInFlight[2 + me] = 1
        }
 #endif
 #ifdef RAISE
     :: d_step {
-        !knows[2 + me] ->
-            knows[2 + me] = 1;
+        !ticketKnown[2 + me] ->
+            ticketKnown[2 + me] = 1;
 #ifndef KEEP_ON_TICKET
-            right[me] = 0; age[me] = NONE; live[me] = 0; reply[me] = 0;
+            usableGrant[me] = 0; requestAge[me] = NONE; liveAtRequest[me] = 0; reply[me] = 0;
 #endif
             assert(SAFE)
        }
 #endif
-    :: d_step { restarts > 0 -> restarts--; right[me] = 0; age[me] = NONE; live[me] = 0; reply[me] = 0 }
+    :: d_step { restarts > 0 -> restarts--; usableGrant[me] = 0; requestAge[me] = NONE; liveAtRequest[me] = 0; reply[me] = 0 }
     od
 }
 
-inline Pass(timer) {
+inline Tick(timer) {
     if
     :: timer > 0 -> timer--
     :: else -> skip
     fi
 }
 
-inline Grow(h) {
+inline AgeRequest(h) {
     if
-    :: age[h] < GRANT - 1 -> age[h]++
-    :: else -> age[h] = NONE; live[h] = 0; reply[h] = 0
+    :: requestAge[h] < GRANT - 1 -> requestAge[h]++
+    :: else -> requestAge[h] = NONE; liveAtRequest[h] = 0; reply[h] = 0
     fi
 }
 
 active proctype Clock() {
     do
     :: d_step {
-        Pass(voteLeft[0]); Pass(voteLeft[1]); Pass(voteLeft[2]);
-        Pass(abstain[0]); Pass(abstain[1]); Pass(abstain[2]);
-        Pass(promise[0]); Pass(promise[1]); Pass(promise[2]);
-        Pass(promise[3]); Pass(promise[4]); Pass(promise[5]);
-        Pass(takeover[0]); Pass(takeover[1]);
-        Pass(ledger[0]); Pass(ledger[1]); Pass(ledger[2]); Pass(ledger[3]);
-        Pass(right[0]); Pass(right[1]);
-        Grow(0); Grow(1);
+        Tick(voteLeft[0]); Tick(voteLeft[1]); Tick(voteLeft[2]);
+        Tick(abstain[0]); Tick(abstain[1]); Tick(abstain[2]);
+        Tick(usableVote[0]); Tick(usableVote[1]); Tick(usableVote[2]);
+        Tick(usableVote[3]); Tick(usableVote[4]); Tick(usableVote[5]);
+        Tick(takeover[0]); Tick(takeover[1]);
+        Tick(countedGrant[0]); Tick(countedGrant[1]); Tick(countedGrant[2]); Tick(countedGrant[3]);
+        Tick(usableGrant[0]); Tick(usableGrant[1]);
+        AgeRequest(0); AgeRequest(1);
         if
         :: voteLeft[0] == 0 -> vote[0] = NONE
         :: else -> skip
--- a/models/ticket-spread.pml
+++ b/models/ticket-spread.pml
@@ -1,18 +1,18 @@
 /*
- * Ticket spread: per object the higher ticket number wins, whatever the order of arrival.
+ * Ticket spread: for each object the higher ticket number wins, in whatever order tickets arrive.
  *
- * VMS daemons hold the state of one object as the value of the ticket that set it. (Objects do not influence each
- * other, so that one stands for all.) A value is 2 * number + content, so that two contents under one number are
- * ordered too. Ticket 1 is in force at first; ticket 2 is published with two contents.
+ * VMS daemons hold the state of one object as the value of the ticket that set it. (Objects are independent of each other,
+ * so the model needs only one.) A value is 2 * number + content, so that two contents under the same number are ordered
+ * too. Ticket 1 is in force at first; ticket 2 is published with two contents.
  *
- * Steps, named as in the code: PlatformPublishes, PlatformRead (from a fresh or a stale replica), PeerSend, PeerReceive,
- * Restart, PeerAnswersStart, Serve.
- * Faults: lost, late, repeated and reordered messages, a stale or rolled back platform replica, restarts without
- * memory. A cut, one-way or not, is a message that stays in flight and an answer that does not come.
+ * Steps: PlatformPublishes, PlatformRead (from a fresh or a stale replica), PeerSend, PeerReceive, Restart,
+ * PeerAnswersStart, Serve.
+ * Faults: lost, late, duplicated and reordered messages, a stale or rolled back platform replica, restarts that lose all
+ * state. A network partition, one-way or not, is a message that stays in flight and a reply that doesn't arrive.
  *
  * Properties:
- *   P1  no VM that serves or is about to has less than what all of these once held;
- *   P2  no VM goes back while it serves;
+ *   P1  a VM that serves or is ready to serve never holds a lower value than one that all such VMs have held at some time;
+ *   P2  the value of a VM never decreases while it serves;
  *   P3  once faults and publishing are over, the highest value is in force on every VM.
  *
  * bounds: 3 VMs, 1 object, 3 tickets (2 under one number), 2 restarts, 2 losses or repeats, 1 rollback, a message a VM
@@ -30,27 +30,27 @@
 #endif
 #define LOSSES 2
 #define ROLLBACKS 1
-#define WATCHER 0    /* the VM that watches the platform; the others read it when they start */
+#define WATCHER 0    /* the VM that watches the platform; the others read from it only when they start */
 
 byte held[VMS] = FIRST; /* value in force, 0 none */
 bool serving[VMS] = true;
-bool asked[VMS] = true;    /* a peer that serves has answered since the start */
-byte published = FIRST;     /* highest value on the fresh replica */
-byte stale = FIRST;         /* what the stale replica answers with */
-byte everywhere = FIRST;    /* highest value that all VMs held that serve or are about to */
-byte flight[VMS];    /* value in a message to the VM, 0 none; may arrive late, again or never */
+bool peerAnswered[VMS] = true; /* a serving peer has answered since the VM's start */
+byte published = FIRST;        /* highest value on the fresh replica */
+byte stale = FIRST;            /* value on the stale replica */
+byte heldByAll = FIRST;        /* highest value that all VMs that serve or are ready to serve have held */
+byte inFlight[VMS];            /* value in a message to the VM, 0 none; may arrive late, twice or never */
 byte restarts = RESTARTS;
 byte losses = LOSSES;
 byte rollbacks = ROLLBACKS;
 #ifdef NO_REPAIR
-byte told[VMS];      /* highest value ever announced to the VM */
+byte announced[VMS]; /* highest value ever announced to the VM */
 #endif
 
 #define READS(i) (i == WATCHER || !serving[i])
 #define NEXT(i) ((i + 1) % VMS)
 #define LAST(i) ((i + 2) % VMS)
 #define MIN(a, b) (a < b -> a : b)
-#define SHOWN(i) ((serving[i] || asked[i]) -> held[i] : 255)
+#define SHOWN(i) ((serving[i] || peerAnswered[i]) -> held[i] : 255)
 #define LOWEST MIN(SHOWN(0), MIN(SHOWN(1), SHOWN(2)))
 
 #if defined(LAST_WINS)
@@ -61,7 +61,7 @@
 #define WINS(value, over) (value > over)
 #endif
 
-/* Apply and the check of P1 and P2. */
+/* Applies a value if it wins, and checks P2. */
 inline Apply(vm, value) {
     if
     :: WINS(value, held[vm]) ->
@@ -71,34 +71,35 @@
     fi
 }
 
-inline NoteEverywhere() {
+/* Updates the highest value that all VMs have held, and checks P1. */
+inline UpdateHeldByAll() {
     if
-    :: LOWEST != 255 && LOWEST > everywhere -> everywhere = LOWEST
+    :: LOWEST != 255 && LOWEST > heldByAll -> heldByAll = LOWEST
     :: else -> skip
     fi;
-    assert(LOWEST >= everywhere) /* P1 */
+    assert(LOWEST >= heldByAll) /* P1 */
 }
 
-/* Tells a peer that has something else; telling it something lower is allowed a bounded number of times. */
+/* Sends the value to a peer that it would replace there. Lower values are sent a bounded number of times (LowerPeerSend). */
 inline PeerSend(from, to) {
 #ifdef NO_REPAIR
-    d_step { held[from] > told[to] -> told[to] = held[from]; flight[to] = held[from] }
+    d_step { held[from] > announced[to] -> announced[to] = held[from]; inFlight[to] = held[from] }
 #else
-    d_step { WINS(held[from], held[to]) && flight[to] != held[from] -> flight[to] = held[from] }
+    d_step { WINS(held[from], held[to]) && inFlight[to] != held[from] -> inFlight[to] = held[from] }
 #endif
 }
 
 inline LowerPeerSend(from, to) {
-    d_step { losses > 0 && held[from] > 0 && held[from] < held[to] -> flight[to] = held[from]; losses-- }
+    d_step { losses > 0 && held[from] > 0 && held[from] < held[to] -> inFlight[to] = held[from]; losses-- }
 }
 
-/* A peer that serves answers a VM that starts, over a way that works. */
+/* A serving peer answers a starting VM over a working connection. */
 inline PeerAnswersStart(from, to) {
     d_step {
-        !serving[to] && !asked[to] && serving[from] ->
+        !serving[to] && !peerAnswered[to] && serving[from] ->
             Apply(to, held[from]);
-            asked[to] = true;
-            NoteEverywhere()
+            peerAnswered[to] = true;
+            UpdateHeldByAll()
     }
 }
 
@@ -107,32 +108,32 @@
 end:
     do
     /* PlatformRead, from the fresh or the stale replica. */
-    :: d_step { READS(me) && WINS(published, held[me]) -> Apply(me, published); NoteEverywhere() }
-    :: d_step { READS(me) && stale > 0 && WINS(stale, held[me]) -> Apply(me, stale); NoteEverywhere() }
+    :: d_step { READS(me) && WINS(published, held[me]) -> Apply(me, published); UpdateHeldByAll() }
+    :: d_step { READS(me) && stale > 0 && WINS(stale, held[me]) -> Apply(me, stale); UpdateHeldByAll() }
 
     :: PeerSend(me, NEXT(me))
     :: PeerSend(me, LAST(me))
     :: LowerPeerSend(me, NEXT(me))
     :: LowerPeerSend(me, LAST(me))
     /* PeerReceive. */
-    :: d_step { flight[me] > 0 -> Apply(me, flight[me]); flight[me] = 0; NoteEverywhere() }
-    /* PeerReceive of a message that comes again. */
-    :: d_step { flight[me] > 0 && losses > 0 -> Apply(me, flight[me]); losses--; NoteEverywhere() }
+    :: d_step { inFlight[me] > 0 -> Apply(me, inFlight[me]); inFlight[me] = 0; UpdateHeldByAll() }
+    /* PeerReceive of a message that is delivered once more. */
+    :: d_step { inFlight[me] > 0 && losses > 0 -> Apply(me, inFlight[me]); losses--; UpdateHeldByAll() }
     /* A message is lost. */
-    :: d_step { flight[me] > 0 && losses > 0 -> flight[me] = 0; losses-- }
+    :: d_step { inFlight[me] > 0 && losses > 0 -> inFlight[me] = 0; losses-- }
 
-    /* Restart without memory, while another VM serves. */
+    /* Restart with loss of all state, while another VM serves. */
     :: d_step {
         restarts > 0 && (serving[NEXT(me)] || serving[LAST(me)]) ->
-            restarts--; held[me] = 0; serving[me] = false; asked[me] = false
+            restarts--; held[me] = 0; serving[me] = false; peerAnswered[me] = false
        }
     :: PeerAnswersStart(NEXT(me), me)
     :: PeerAnswersStart(LAST(me), me)
-    /* Serve: only after peers as well as the platform were asked. */
+    /* Serve: only after a serving peer has answered. */
 #ifdef NO_ASK
-    :: d_step { !serving[me] && (held[me] > 0 || asked[me]) -> serving[me] = true; NoteEverywhere() }
+    :: d_step { !serving[me] && (held[me] > 0 || peerAnswered[me]) -> serving[me] = true; UpdateHeldByAll() }
 #else
-    :: d_step { !serving[me] && asked[me] -> serving[me] = true; NoteEverywhere() }
+    :: d_step { !serving[me] && peerAnswered[me] -> serving[me] = true; UpdateHeldByAll() }
 #endif
     od
 }
