--- a/bin/lib/bench-fleet.sh
+++ b/bin/lib/bench-fleet.sh
@@ -1,4 +1,4 @@
-# 36 daemons with a customer's three services; one fault of a backend server, or one of a VM, the platform.
+# Starts 36 daemons with a customer's three services and injects one fault into a backend server, a VM or the platform.
 #   --customer association|thess  --fault NAME  --load PERCENT  --daemons N  --seconds N
 #   --vm-fault none|kill|pause|restart|platform-down|platform-stale|platform-rolled-back
 
@@ -26,7 +26,7 @@
     curl -fs -o /dev/null --data "$1" "http://127.0.0.1:$PLATFORM_PORT/control/fault"
 }
 
-# Faults of the VM 5 and of the platform, some seconds into the run.
+# Injects the fault into VM 5 or the platform, FAULT_AFTER_SECONDS after the start of the run.
 do_vm_fault() {
     sleep "$FAULT_AFTER_SECONDS"
     case "$VM_FAULT" in
--- a/bin/lib/bench-overhead.sh
+++ b/bin/lib/bench-overhead.sh
@@ -1,4 +1,4 @@
-# One daemon alone, which owns all server groups itself; then one of three, which forwards to the others.
+# Measures a single daemon, which owns all server groups, and then one of three daemons, which forwards to the others.
 
 measure() {
     local daemons=$1 label=$2
--- a/bin/lib/bench-tickets.sh
+++ b/bin/lib/bench-tickets.sh
@@ -1,4 +1,5 @@
-# 36 daemons, a platform without other tickets, and links that can be cut; the spread time of tickets under each fault.
+# Measures the spread time of tickets under each fault, with 36 daemons, network links that can be cut, and a platform that
+# publishes no other tickets.
 #   --daemons N  --tickets N
 
 DAEMONS=36
@@ -18,7 +19,7 @@
 CUTS="$RUN_DIR/cuts"
 : >"$CUTS"
 
-# start_daemon N DC: a daemon whose links the file of cuts can cut.
+# start_daemon N DC: starts a daemon whose links are cut as the file $CUTS states.
 start_daemon() {
     write_settings "$RUN_DIR/vm-$1.json" "$1" "$2"
     # shellcheck disable=SC2086
@@ -26,7 +27,7 @@
         cuttable-daemon --settings "$RUN_DIR/vm-$1.json" --cuts "$CUTS"
 }
 
-# ids_of REMAINDER...: the ids of the VMs whose number has one of the remainders when divided by 4.
+# ids_of REMAINDER...: prints the ids of the VMs whose number modulo 4 is one of the remainders.
 ids_of() {
     local list="" n remainder
     for n in $(seq 1 "$DAEMONS"); do
--- a/bin/lib/fleet.sh
+++ b/bin/lib/fleet.sh
@@ -1,22 +1,22 @@
-# Functions that describe a fleet of daemons on loopback addresses and start it. Sourced after processes.sh.
+# Functions that configure and start a fleet of daemons on loopback addresses. Sourced after processes.sh.
 
-# Ports and network may be set from outside, so that two fleets can run side by side.
+# The caller may set ports and network, so that two fleets can run at the same time.
 VM_NETWORK="${VM_NETWORK:-127.0.10}"
 CALLER_PORT="${CALLER_PORT:-18080}"
 PEER_PORT="${PEER_PORT:-18090}"
 OPERATOR_PORT="${OPERATOR_PORT:-18091}"
 PLATFORM_PORT="${PLATFORM_PORT:-18070}"
 BACKEND_ADMIN_PORT="${BACKEND_ADMIN_PORT:-18071}"
-# Daemons started at once; more would only wait for the processor.
+# Number of daemons that start at the same time; more would only compete for the CPU.
 START_BATCH=4
 DAEMON_JAVA_OPTIONS="${DAEMON_JAVA_OPTIONS:--Xms24m -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=4 -XX:ReservedCodeCacheSize=32m}"
 
-# vm_host N: the loopback address of the VM with the number N.
+# vm_host N: prints the loopback address of VM N.
 vm_host() {
     echo "$VM_NETWORK.$1"
 }
 
-# vm_data_centre N DC...: data centres are given in turn.
+# vm_data_centre N DC...: prints the data centre of VM N; VMs are assigned to data centres in turn.
 vm_data_centre() {
     local index=$1
     shift
@@ -24,7 +24,7 @@
     echo "${all[$(((index - 1) % ${#all[@]}))]}"
 }
 
-# write_settings FILE N DC: the settings of the VM with the number N.
+# write_settings FILE N DC: writes the settings of VM N.
 write_settings() {
     cat >"$1" <<JSON
 {
@@ -41,14 +41,14 @@
 JSON
 }
 
-# start_daemon N DC: writes the settings of the VM and starts its daemon.
+# start_daemon N DC: writes the settings of VM N and starts its daemon.
 start_daemon() {
     write_settings "$RUN_DIR/vm-$1.json" "$1" "$2"
     # shellcheck disable=SC2086
     start "vm-$1" java $DAEMON_JAVA_OPTIONS -jar target/coppershelf/coppershelf entry --settings "$RUN_DIR/vm-$1.json"
 }
 
-# operators N: the operator addresses of the VMs 1 to N, with commas.
+# operators N: prints the operator addresses of the VMs 1 to N, separated by commas.
 operators() {
     local list="" n
     for n in $(seq 1 "$1"); do
@@ -57,7 +57,7 @@
     echo "$list"
 }
 
-# customer_directory NAME: the examples of a customer, by its site name or its own.
+# customer_directory NAME: prints the directory with the examples of a customer, given the name of its site or its own.
 customer_directory() {
     case "$1" in
         dk-west | association) echo examples/association ;;
@@ -69,7 +69,7 @@
     esac
 }
 
-# customer_data_centres NAME
+# customer_data_centres NAME: prints the data centres of a customer.
 customer_data_centres() {
     case "$1" in
         dk-west | association) echo "herning viborg odense vejle" ;;
@@ -77,7 +77,7 @@
     esac
 }
 
-# write_vms FILE COUNT DC...: the platform's list of the VMs 1 to COUNT.
+# write_vms FILE COUNT DC...: writes the VM list of the platform, with the VMs 1 to COUNT.
 write_vms() {
     local file=$1 count=$2 n
     shift 2
@@ -92,7 +92,7 @@
     } >"$file"
 }
 
-# start_stand_ins CUSTOMER COUNT: the platform with the customer's tickets and COUNT VMs, and all backend servers.
+# start_stand_ins CUSTOMER COUNT: starts the platform with the customer's tickets and COUNT VMs, and all backend servers.
 start_stand_ins() {
     local directory data_centres ticket
     directory=$(customer_directory "$1")
@@ -108,7 +108,7 @@
     wait_for_line backends "servers are ready"
 }
 
-# start_daemons CUSTOMER COUNT: the daemons of the VMs 1 to COUNT; returns when all are ready. Sets DAEMON_PIDS.
+# start_daemons CUSTOMER COUNT: starts the daemons of the VMs 1 to COUNT and waits until all are ready. Sets DAEMON_PIDS.
 start_daemons() {
     local data_centres n
     data_centres=$(customer_data_centres "$1")
--- a/bin/lib/processes.sh
+++ b/bin/lib/processes.sh
@@ -1,5 +1,5 @@
-# Functions for the scripts of this folder: build, start processes, wait for them, end them by id.
-# Sourced, not run. The caller sets -euo pipefail and works at the root of the checkout.
+# Functions for the scripts in bin/: build, start processes, wait for them, and stop them by id.
+# Sourced, not run. The sourcing script sets -euo pipefail and runs in the root of the checkout.
 
 RUN_DIR="${RUN_DIR:-$(mktemp -d "${TMPDIR:-/tmp}/coppershelf.XXXXXX")}"
 STARTED_PIDS=()
@@ -25,7 +25,7 @@
     echo "$jar:target/bench/lib/*"
 }
 
-# start NAME COMMAND...: runs the command in the background, its output in $RUN_DIR/NAME.log; sets LAST_PID.
+# start NAME COMMAND...: runs the command in the background with its output in $RUN_DIR/NAME.log. Sets LAST_PID.
 start() {
     local name=$1
     shift
@@ -34,7 +34,7 @@
     STARTED_PIDS+=("$LAST_PID")
 }
 
-# wait_for_line NAME TEXT: waits until the log of a process has the text, for 30 s at most.
+# wait_for_line NAME TEXT: waits until the log of a process contains the text, for 30 s at most.
 wait_for_line() {
     local tries=0
     until grep -q -- "$2" "$RUN_DIR/$1.log" 2>/dev/null; do
@@ -48,7 +48,7 @@
     done
 }
 
-# wait_for_http URL: waits until the URL answers 200, for 120 s at most.
+# wait_for_http URL: waits until a GET of the URL is answered with 200, for 120 s at most.
 wait_for_http() {
     local tries=0
     until curl -fs -o /dev/null --max-time 2 "$1"; do
@@ -62,7 +62,7 @@
     done
 }
 
-# stop_planned PID: sends SIGTERM and waits; sets STOP_CODE to the exit status.
+# stop_planned PID: sends SIGTERM and waits until the process ends. Sets STOP_CODE to its exit status.
 stop_planned() {
     STOP_CODE=0
     kill -TERM "$1"
