--- a/models/floor.pml
+++ b/models/floor.pml
@@ -22,7 +22,7 @@
  *
  * Properties:
  *   P1  never more live grants than the allowance;
- *   P2  (RAISE, where the voters change their view together) once every process knows the ticket that lowers the allowance,
+ *   P2  (RAISE, where the voters change their view together) once every process has the ticket that lowers the allowance,
  *       no more grants than that are live.
  *
  * bounds: 2 candidates, 2 holders, 3 shared of 7 voters, 2 views, lease and grant of 2 ticks, time unbounded, restarts as given, messages lost, late up to a grant
@@ -82,7 +82,7 @@
 bit releaseInFlight[4]; /* 2 * candidate + holder */
 #endif
 #ifdef RAISE
-bit ticketKnown[4]; /* whether candidate 0, 1, holder 0, 1 know the ticket */
+bit ticketKnown[4]; /* whether candidate 0, 1, holder 0, 1 have the ticket */
 #define ALLOWANCE_OF(p) (ticketKnown[p] -> 1 : 2)
 #else
 #define ALLOWANCE_OF(p) 1
