--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimLimits.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimLimits.java
@@ -42,7 +42,7 @@
     /** The number of holders of a key. */
     public static final int HOLDERS = 5;
 
-    /** The maximum number of holders that must accept a claim. */
+    /** The maximum number of holders that must accept a claim before the first attempt. */
     public static final int MAX_QUORUM = 4;
 
     /** The maximum number of VMs that can be lost without losing claims: each claim is held by at least four VMs. */
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorTiming.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorTiming.java
@@ -19,7 +19,7 @@
      */
     public static final double RATE_MARGIN = 0.05;
 
-    /** How long the votes of one round make a VM the granter. */
+    /** How long a VM may act as granter on the votes of one round. */
     public static final Duration LEASE_DURATION = Duration.ofSeconds(10);
 
     /** The time between two vote rounds. */
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
@@ -149,7 +149,8 @@
     }
 
     /**
-     * Runs the request or not if its key is claimed; its outcome is reported, reported as unknown, or never reported.
+     * Runs the request or not if its key is claimed; its outcome is reported, reported as unknown, or never reported
+     * because its VM is lost.
      */
     private void onResult(String requestId, Optional<ClaimResult> result) {
         if (result.isEmpty()) {
