--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/FailedProbeReports.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/FailedProbeReports.java
@@ -20,7 +20,7 @@
         reporters.put(target.id(), first);
     }
 
-    /** Ends the collection for a VM. */
+    /** Ends the collection for a VM, which was reached or is suspected now. */
     void clear(String id) {
         reporters.remove(id);
     }
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberUpdate.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberUpdate.java
@@ -12,7 +12,7 @@
  * An update about a VM that is disseminated by gossip.
  *
  * @param vm the VM
- * @param refutation how often this incarnation of the VM has refuted a report that it is suspect or gone
+ * @param refutation how often this incarnation of the VM has refuted a report that it is suspected or gone
  * @param status the status of the VM
  */
 record MemberUpdate(Vm vm, int refutation, MemberStatus status) {
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipAction.java
@@ -25,6 +25,6 @@
     /** Publish the changed view. */
     record Publish() implements MembershipAction {}
 
-    /** Record a change on the time line. */
+    /** Record a change on the timeline. */
     record RecordChange(String text) implements MembershipAction {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
@@ -97,7 +97,8 @@
     }
 
     /**
-     * Returns the updates to send with the next message to the VM; if it is suspect or gone, the update about it first.
+     * Returns the updates to send with the next message to the VM; if it is suspected or gone, the update about it
+     * first.
      */
     List<MemberUpdate> gossipFor(String receiver) {
         List<MemberUpdate> updates = new ArrayList<>();
@@ -331,7 +332,7 @@
     }
 
     /**
-     * Refutes a report that this VM is suspect or gone; the refutation supersedes the report on each VM that receives
+     * Refutes a report that this VM is suspected or gone; the refutation supersedes the report on each VM that receives
      * it.
      */
     private void refute(MemberUpdate update) {
--- a/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/internal/spread/SpreadEvent.java
@@ -47,7 +47,7 @@
     /** A peer did not reply to a repair request, or its reply was not valid. */
     record RepairFailed(String target) implements SpreadEvent {}
 
-    /** Time passed; sent every {@link TicketSpread#TICK_MILLIS}. */
+    /** The periodic tick, every {@link TicketSpread#TICK_MILLIS}. */
     record Tick() implements SpreadEvent {}
 
     /**
