--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendClient.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends attempts to backend servers. Safe for use by several threads. */
+/** Sends attempts to backend servers. Thread-safe. */
 public interface BackendClient {
     ComponentKey<BackendClient> NAME = ComponentKey.named("backend", BackendClient.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
@@ -13,17 +13,17 @@
     /** The maximum number of concurrent cancellations and probes per server. */
     static final int MAX_CONTROL_EXCHANGES = 2;
 
-    private final ConcurrentMap<Address, Semaphore> forTries = new ConcurrentHashMap<>();
-    private final ConcurrentMap<Address, Semaphore> forControl = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Address, Semaphore> attemptPermits = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Address, Semaphore> controlPermits = new ConcurrentHashMap<>();
 
     /** Returns the permits for attempts on the server. */
     Semaphore forAttempts(ServerSpec server) {
-        return forTries.computeIfAbsent(Address.of(server), key -> new Semaphore(server.slots()));
+        return attemptPermits.computeIfAbsent(Address.of(server), key -> new Semaphore(server.slots()));
     }
 
     /** Returns the permits for cancellations and probes of the server. */
     Semaphore forControl(ServerSpec server) {
-        return forControl.computeIfAbsent(Address.of(server), key -> new Semaphore(MAX_CONTROL_EXCHANGES));
+        return controlPermits.computeIfAbsent(Address.of(server), key -> new Semaphore(MAX_CONTROL_EXCHANGES));
     }
 
     private record Address(String host, int port, int slots) {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClientHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClientHolder.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Executor;
 
 /**
- * Holds the HTTP client in use. After an answer that belongs to another request the client is replaced, so that none of
+ * Holds the HTTP client in use. After an answer that belongs to another attempt the client is replaced, so that none of
  * its pooled connections is used again.
  */
 public final class HttpClientHolder {
