--- a/coppershelf/src/main/java/io/coppershelf/component/ComponentRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/component/ComponentRegistry.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentMap;
 
 /**
- * The interfaces that the components of a process provide, by key. Safe for use by several threads.
+ * The interfaces that the components of a process provide, by key. Thread-safe.
  *
  * <pre>{@code
  * registry.register(ControlThread.NAME, controlThread);
--- a/coppershelf/src/main/java/io/coppershelf/document/DocumentSchema.java
+++ b/coppershelf/src/main/java/io/coppershelf/document/DocumentSchema.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A JSON schema that documents are checked against. Safe for use by several threads. */
+/** A JSON schema that documents are checked against. Thread-safe. */
 public final class DocumentSchema {
     private static final String MESSAGE_KEYWORD = "expected";
 
--- a/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/HybridClock.java
@@ -4,8 +4,7 @@
 
 /**
  * A hybrid logical clock: its stamps order causes before effects across all processes, and stay close to wall time. A
- * stamp has the wall time in milliseconds in its upper 48 bits and a counter in its lower 16. Safe for use by several
- * threads.
+ * stamp has the wall time in milliseconds in its upper 48 bits and a counter in its lower 16. Thread-safe.
  *
  * @see <a href="https://cse.buffalo.edu/tech-reports/2014-04.pdf">Kulkarni et al., Logical Physical Clocks and
  *     Consistent Snapshots in Globally Distributed Databases, 2014</a>
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorRegistry.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorRegistry.java
@@ -4,10 +4,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.BooleanSupplier;
 
-/**
- * Registry of what components show to operators: status, readiness conditions and metrics. Safe for use by several
- * threads.
- */
+/** Registry of what components show to operators: status, readiness conditions and metrics. Thread-safe. */
 public interface OperatorRegistry {
     ComponentKey<OperatorRegistry> NAME = ComponentKey.named("operator", OperatorRegistry.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/Timeline.java
@@ -3,7 +3,7 @@
 import io.coppershelf.component.ComponentKey;
 import java.util.Optional;
 
-/** Records the events of this process for the timeline of the fleet. Safe for use by several threads. */
+/** Records the events of this process for the timeline of the fleet. Thread-safe. */
 public interface Timeline {
     ComponentKey<Timeline> NAME = ComponentKey.named("timeline", Timeline.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/TimelineBuffer.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/TimelineBuffer.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The latest events of this process, in a ring buffer of fixed size. Safe for use by several threads. */
+/** The latest events of this process, in a ring buffer of fixed size. Thread-safe. */
 public final class TimelineBuffer implements Timeline {
     private static final int MAX_TEXT_LENGTH = 300;
 
--- a/coppershelf/src/main/java/io/coppershelf/platform/internal/Backoff.java
+++ b/coppershelf/src/main/java/io/coppershelf/platform/internal/Backoff.java
@@ -5,7 +5,7 @@
 
 /**
  * Exponential backoff with jitter: the delay doubles with each consecutive failure up to a limit, and half of it is
- * random so that the VMs do not retry at the same time. Not safe for use by several threads.
+ * random so that the VMs do not retry at the same time. Not thread-safe.
  */
 final class Backoff {
     private static final Duration INITIAL_DELAY = Duration.ofMillis(200);
