--- a/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
@@ -13,24 +13,24 @@
 
 /** Writes the log as JSON lines, from a bounded queue and at a bounded rate of routine lines. */
 public final class JsonEventLog implements EventLog {
-    /** Largest number of queued lines; about 200 KB. */
-    private static final int QUEUE_LINES = 1024;
+    /** Maximum number of queued lines; about 200 KB. */
+    private static final int MAX_QUEUED_LINES = 1024;
     /** Queue places reserved for important lines; routine lines are dropped when fewer places are free. */
     private static final int RESERVED_LINES = 512;
     /** Routine lines a second; above it they are sampled, which bounds the volume and the processor time. */
-    private static final int ROUTINE_LINES_PER_SECOND = 20;
+    private static final int MAX_ROUTINE_LINES_PER_SECOND = 20;
     /** Important lines a second; above it a failing process mostly repeats the same lines. */
-    private static final int IMPORTANT_LINES_PER_SECOND = 200;
+    private static final int MAX_IMPORTANT_LINES_PER_SECOND = 200;
 
     /** Interval between writes; lines are written in batches, since each write costs a system call. */
-    private static final long BATCH_MILLIS = 250;
-    /** Longest wait for the last lines to be written. */
-    private static final long CLOSE_MILLIS = 200;
+    private static final long BATCH_INTERVAL_MILLIS = 250;
+    /** Maximum wait for the last lines to be written. */
+    private static final long CLOSE_TIMEOUT_MILLIS = 200;
 
-    private final BlockingQueue<Line> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
+    private final BlockingQueue<Line> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
-    private final RateLimiter routineRate = new RateLimiter(ROUTINE_LINES_PER_SECOND);
-    private final RateLimiter importantRate = new RateLimiter(IMPORTANT_LINES_PER_SECOND);
+    private final RateLimiter routineRate = new RateLimiter(MAX_ROUTINE_LINES_PER_SECOND);
+    private final RateLimiter importantRate = new RateLimiter(MAX_IMPORTANT_LINES_PER_SECOND);
     private final JsonFactory json = new JsonFactory();
     private final OutputStream out;
     private final String vm;
@@ -51,10 +51,10 @@
         return log;
     }
 
-    /** Writes the queued lines and ends the log; the wait for that is bounded. */
+    /** Writes the queued lines and stops the log; waits for this for a bounded time. */
     public void close() throws InterruptedException {
         writer.interrupt();
-        writer.join(CLOSE_MILLIS);
+        writer.join(CLOSE_TIMEOUT_MILLIS);
     }
 
     /** Returns how many lines were dropped so far. */
@@ -77,7 +77,7 @@
         try {
             while (true) {
                 writeBatch(queue.take());
-                TimeUnit.MILLISECONDS.sleep(BATCH_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(BATCH_INTERVAL_MILLIS);
             }
         } catch (InterruptedException e) {
             writeQueued();
