--- a/coppershelf/src/test/java/io/coppershelf/testing/LoopbackPeerExchange.java
+++ b/coppershelf/src/test/java/io/coppershelf/testing/LoopbackPeerExchange.java
@@ -20,7 +20,7 @@
     private final Map<Class<?>, Registration<?>> registrations = new ConcurrentHashMap<>();
     private final String sender;
 
-    /** The fault that requests meet. */
+    /** The fault that is injected into requests. */
     public enum Fault {
         NONE,
         NOT_SENT,
