--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Hello.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Hello.java
@@ -13,8 +13,8 @@
  *
  * @param version the version of the peer protocol
  * @param sender the VM that sends it
- * @param target the id of the VM to which the sender connects, empty if it knows only an address
- * @param targetIncarnation the incarnation to which the sender connects, 0 for any
+ * @param target the id of the VM that the sender expects at the other end, empty if it knows only an address
+ * @param targetIncarnation the incarnation that the sender expects, 0 for any
  */
 record Hello(int version, Vm sender, String target, long targetIncarnation) implements PeerMessage {
     static final int VERSION = 1;
--- a/coppershelf/src/test/java/io/coppershelf/peer/internal/BadPeerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/peer/internal/BadPeerTest.java
@@ -39,11 +39,11 @@
     }
 
     static Stream<Arguments> badConnections() throws IOException {
-        byte[] whole = message(21, Envelope.Kind.ONE_WAY, "x");
+        byte[] validMessage = message(21, Envelope.Kind.ONE_WAY, "x");
         return Stream.of(
                 Arguments.of("noise in place of a hello", noise(900), DropReason.FRAME_TOO_LONG),
                 Arguments.of("a hello that is no hello", frame(noise(40)), DropReason.GARBLED),
-                Arguments.of("a message before the hello", whole, DropReason.GARBLED),
+                Arguments.of("a message before the hello", validMessage, DropReason.GARBLED),
                 Arguments.of("a hello over its limit", header(1025), DropReason.FRAME_TOO_LONG),
                 Arguments.of("a negative length", header(-1), DropReason.FRAME_TOO_LONG),
                 Arguments.of("another version", hello(9, KNOWN, "target"), DropReason.GARBLED),
@@ -51,15 +51,16 @@
                 Arguments.of("an old incarnation", hello(1, OLD, "target"), DropReason.OLD_INCARNATION),
                 Arguments.of("a frame over 4 MB", after(KNOWN, header(4194305)), DropReason.FRAME_TOO_LONG),
                 Arguments.of("a stranger's long frame", after(UNKNOWN, header(65537)), DropReason.FRAME_TOO_LONG),
-                Arguments.of("a stranger's message", after(UNKNOWN, whole), DropReason.UNKNOWN_SENDER),
+                Arguments.of("a stranger's message", after(UNKNOWN, validMessage), DropReason.UNKNOWN_SENDER),
                 Arguments.of(
                         "an unknown type",
                         after(KNOWN, message(99, Envelope.Kind.ONE_WAY, "x")),
                         DropReason.UNKNOWN_TYPE),
                 Arguments.of("noise after the hello", after(KNOWN, frame(noise(60))), DropReason.GARBLED),
                 Arguments.of("an empty frame", after(KNOWN, frame(new byte[0])), DropReason.GARBLED),
-                Arguments.of("fields cut short", after(KNOWN, frame(cut(whole))), DropReason.GARBLED),
-                Arguments.of("bytes after the fields", after(KNOWN, frame(lengthened(whole))), DropReason.GARBLED),
+                Arguments.of("fields cut short", after(KNOWN, frame(cut(validMessage))), DropReason.GARBLED),
+                Arguments.of(
+                        "bytes after the fields", after(KNOWN, frame(lengthened(validMessage))), DropReason.GARBLED),
                 Arguments.of(
                         "a reply to nothing",
                         after(KNOWN, message(21, Envelope.Kind.REPLY, "x")),
