--- a/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
@@ -23,7 +23,7 @@
 import java.util.function.Function;
 
 /**
- * Decides the condition of the servers of one group. Not safe for use by several threads.
+ * Decides the condition of the servers of one group. Not thread-safe.
  *
  * <pre>{@code
  * health.advance(now);
@@ -37,9 +37,9 @@
     private static final long SHARE_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
     /** A server without any response for this long is probed. */
     private static final long SILENCE_LIMIT_NANOS = Duration.ofSeconds(5).toNanos();
-    /** An attempt is no evidence if this process was paused for longer than this while it was in flight. */
+    /** Longest pause of this process during an attempt after which the end of the attempt still counts as evidence. */
     private static final long MAX_UNOBSERVED_NANOS = Duration.ofMillis(500).toNanos();
-    /** A timeout counts as evidence against the server from this surprisal of the attempt's age. */
+    /** Smallest surprisal of an attempt's age at which its timeout counts as evidence against the server. */
     private static final double TIMEOUT_SURPRISAL_NATS = 3.0;
 
     private final HealthCommands commands;
--- a/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimate.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/estimate/HealthEstimate.java
@@ -29,7 +29,7 @@
     private static final double MIN_PROBABILITY = 0.002;
 
     private static final double MAX_PROBABILITY = 0.995;
-    /** Probability from which on the log reports a server as suspected. */
+    /** Smallest probability at which a server is logged as suspected. */
     private static final double SUSPECTED_PROBABILITY = 0.4;
     /**
      * Time after which most gray failures are over, in seconds; a server whose last failure is older may get a trial
@@ -39,8 +39,8 @@
     /** Tolerance for comparisons of probabilities. */
     private static final double TOLERANCE = 1e-6;
     /**
-     * Probability from which on positive observations are reported to peers too; below it they would hardly change the
-     * estimates of the peers.
+     * Smallest probability at which positive observations are reported to other VMs too; below it they would hardly
+     * change the estimates of the other VMs.
      */
     private static final double UNCERTAIN_PROBABILITY = 0.1;
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSources.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSources.java
@@ -9,7 +9,8 @@
 /** The sources by which servers are draining: a ticket, their own report, or both. */
 public final class DrainSources {
     /**
-     * How long a server that reported a drain stays draining at least, as the state in a probe's answer may lag behind.
+     * Shortest time for which a server that reported a drain stays draining, as the state in a probe's answer may be
+     * out of date.
      */
     private static final long MIN_DRAIN_NANOS = Duration.ofSeconds(10).toNanos();
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorComparison.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorComparison.java
@@ -17,7 +17,7 @@
     /**
      * Records the end of an attempt.
      *
-     * @param route the route
+     * @param route the route of the attempt
      * @param error whether the server caused an error
      * @param rateOfPeers the error rate of this route on the server's peers
      * @param observedNanos the observed time
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueAttempts.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueAttempts.java
@@ -4,7 +4,7 @@
 
 /** Finds the attempts on an unhealthy server that should be cancelled rather than waited for. */
 final class OverdueAttempts {
-    /** An attempt is overdue from this surprisal of its age. */
+    /** Smallest surprisal of an attempt's age at which the attempt is overdue. */
     private static final double OVERDUE_NATS = 6.0;
 
     private OverdueAttempts() {}
--- a/coppershelf/src/main/java/io/coppershelf/health/package-info.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Passive health checks of backend servers: suspicion, ejection and probation, decided from the results and latencies
- * of real requests. Pure decisions without input or output.
+ * of real requests. Free of I/O and clocks.
  */
 package io.coppershelf.health;
