--- a/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
@@ -44,7 +44,7 @@
      * Creates the plan of a request that has just been read.
      *
      * @param deadlineNanos the monotonic time by which the caller must have an answer
-     * @param latency the typical latency of the route
+     * @param latency the typical latency of the service for this kind of requests
      */
     public RequestPlan(Route route, AttemptAllocator allocator, long deadlineNanos, TypicalLatency latency) {
         this.route = route;
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
@@ -22,7 +22,7 @@
     /** Loss due to a failure of a request that can't be retried, as a share of its value. */
     private static final double LAST_ATTEMPT_FAILURE_LOSS = 1.0;
     /** Loss due to a failure of a request that can be retried: the delay, and a share of the retry budget. */
-    private static final double RETRIABLE_FAILURE_LOSS = 0.6;
+    private static final double RETRYABLE_FAILURE_LOSS = 0.6;
     /** Share of the requests that an unhealthy server fails. */
     private static final double UNHEALTHY_FAILURE_SHARE = 0.8;
     /** Loss at a server on which the request takes the last free slot; servers slow down when nearly full. */
@@ -32,7 +32,7 @@
      * rounds, since objectives are about three times the typical latency and a request in the third round is late.
      */
     private static final double QUEUED_ROUND_LOSS = 0.3;
-    /** Loss at a server that is still slow after its start. */
+    /** Loss at a cold server, which is still slow after its start. */
     private static final double COLD_LOSS = 0.04;
     /** Loss due to the traffic of a small answer between data centres. */
     private static final double REMOTE_LOSS = 0.012;
@@ -151,7 +151,7 @@
     double loss(BackendServer server, RequestKind kind, boolean isLastAttempt, long nowNanos) {
         double failure = UNHEALTHY_FAILURE_SHARE
                 * estimates.estimate(stats(server).key(), nowNanos).unhealthyProbabilityAt(nowNanos);
-        double loss = failure * (isLastAttempt ? LAST_ATTEMPT_FAILURE_LOSS : RETRIABLE_FAILURE_LOSS);
+        double loss = failure * (isLastAttempt ? LAST_ATTEMPT_FAILURE_LOSS : RETRYABLE_FAILURE_LOSS);
         loss += loadLoss(estimatedLoad(server, nowNanos), server.slots());
         loss += stats(server).isInBackoff(nowNanos) ? BACKOFF_LOSS : 0;
         if (!server.dataCentre().equals(dataCentre)) {
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/TypicalLatency.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/TypicalLatency.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * The typical latency of successful answers of a route, as moving averages of the latency and of its deviation. Not
- * thread-safe.
+ * The typical latency of successful answers of a service to one kind of requests, as moving averages of the latency and
+ * of its deviation. Not thread-safe.
  */
 public final class TypicalLatency {
     /** Weight of a new sample; the averages cover about the last sixteen samples. */
--- a/coppershelf/src/test/java/io/coppershelf/dispatch/IdleServerTrackerTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/dispatch/IdleServerTrackerTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void retriableRequestsAreSentToIdleServersFirst() {
+    void retryableRequestsAreSentToIdleServersFirst() {
         tracker.recordRequest(code(1), 0);
         long later = 3 * SECOND / 2;
         tracker.recordRequest(code(0), later);
