--- a/coppershelf/src/main/java/io/coppershelf/admission/AttemptSender.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptSender.java
@@ -4,7 +4,7 @@
 import io.coppershelf.membership.Vm;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends attempts to the owners of server groups, on this VM or another one. Safe for use by several threads. */
+/** Sends attempts to the owners of server groups, on this VM or another one. Thread-safe. */
 public interface AttemptSender {
     ComponentKey<AttemptSender> NAME = ComponentKey.named("admission", AttemptSender.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/OwnerLookup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/OwnerLookup.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** Caches the owners of server groups until the view of the fleet changes. Safe for use by several threads. */
+/** Caches the owners of server groups until the view of the fleet changes. Thread-safe. */
 public final class OwnerLookup {
     private final FleetView.Source fleet;
     private volatile Table table;
--- a/coppershelf/src/main/java/io/coppershelf/admission/ServerGroupDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/ServerGroupDecisions.java
@@ -3,8 +3,7 @@
 import java.util.List;
 
 /**
- * The decisions for one server group as a state machine that maps an event and the time to actions. Not safe for use by
- * several threads.
+ * The decisions for one server group as a state machine that maps an event and the time to actions. Not thread-safe.
  */
 public interface ServerGroupDecisions {
     /**
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
@@ -31,7 +31,7 @@
     private volatile AttemptSender sender;
     private volatile LocalGroups groups;
 
-    /** Looks up the services of other components and starts serving. */
+    /** Looks up the interfaces of other components and starts serving. */
     public void start(ComponentRegistry registry) {
         BackendClient backend = registry.require(BackendClient.NAME);
         TimeSource time = registry.require(TimeSource.NAME);
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthEvidenceExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthEvidenceExchange.java
@@ -17,13 +17,13 @@
 
 /** Exchanges evidence on the health of backend servers with other VMs: typical service times and reachability. */
 final class HealthEvidenceExchange {
-    /** The number of VMs that are queried whether they can reach a server. */
-    private static final int MAX_WITNESSES = 2;
+    /** The largest number of VMs that are queried whether they can reach a server. */
+    private static final int MAX_QUERIED_VMS = 2;
 
     /** The number of VMs among which those of other data centres are selected. */
-    private static final int WITNESS_CANDIDATES = 16;
+    private static final int QUERY_CANDIDATES = 16;
 
-    private static final Duration WITNESS_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration QUERY_TIMEOUT = Duration.ofMillis(500);
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(300);
 
     private final PeerExchange peers;
@@ -65,15 +65,15 @@
     /** Queries VMs of other data centres whether they can reach the server; the listener is called for each reply. */
     void queryReachability(GroupName group, String server, Consumer<Boolean> listener) {
         FleetView view = fleet.current();
-        view.ranked("witness/" + server, "", WITNESS_CANDIDATES).stream()
+        view.ranked("witness/" + server, "", QUERY_CANDIDATES).stream()
                 .filter(vm -> !vm.id().equals(view.self().id()))
                 .filter(vm -> !vm.dataCentre().equals(group.dataCentre()))
-                .limit(MAX_WITNESSES)
+                .limit(MAX_QUERIED_VMS)
                 .forEach(vm -> query(vm, server, listener));
     }
 
-    private void query(Vm witness, String server, Consumer<Boolean> listener) {
-        var unused = peers.request(witness, new ReachabilityQuery(server), WITNESS_TIMEOUT)
+    private void query(Vm vm, String server, Consumer<Boolean> listener) {
+        var unused = peers.request(vm, new ReachabilityQuery(server), QUERY_TIMEOUT)
                 .thenAccept(reply -> {
                     if (reply instanceof PeerReply.Received received
                             && received.message() instanceof ReachabilityReply reachability
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
@@ -22,7 +22,7 @@
 
 /**
  * The server groups that this VM serves. A group is created when it is first needed, and removed when this VM may no
- * longer serve it and no attempt is in flight. Safe for use by several threads.
+ * longer serve it and no attempt is in flight. Thread-safe.
  */
 final class LocalGroups {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/coppershelf/src/test/java/io/coppershelf/admission/OwnerLookupTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/OwnerLookupTest.java
@@ -50,11 +50,11 @@
     @Test
     void followsTheViewOfTheFleet() {
         OwnerLookup lookup = new OwnerLookup(this);
-        Vm gone = lookup.owners(GROUP).get(0);
-        List<Vm> left = VMS.stream().filter(vm -> !vm.equals(gone)).toList();
-        view = new FleetSnapshot(left.get(0), left, Set.of());
+        Vm removed = lookup.owners(GROUP).get(0);
+        List<Vm> remaining = VMS.stream().filter(vm -> !vm.equals(removed)).toList();
+        view = new FleetSnapshot(remaining.get(0), remaining, Set.of());
 
-        assertThat(lookup.owners(GROUP)).doesNotContain(gone);
+        assertThat(lookup.owners(GROUP)).doesNotContain(removed);
         assertThat(lookup.owners(GROUP)).isEqualTo(GROUP.owners(view));
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void dropsTheAttemptOfTheLowestWeightWhenSlotsAreLost() {
+    void shedsTheAttemptOfTheLowestWeightWhenSlotsAreLost() {
         queue.add(queued("light", 1, 190));
         queue.add(queued("heavy", 10, 200));
         assertThat(QueueShedder.selectAttempts(queue, new WaitEstimate(2, 0, SERVICE), 0))
