--- a/coppershelf/src/main/java/io/coppershelf/catalog/RemovalGrace.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/RemovalGrace.java
@@ -17,10 +17,10 @@
     static final long AFTER_OUTAGE_NANOS = TimeUnit.MILLISECONDS.toNanos(2200);
     /** Grace period of servers that disappear together; a leaving server must get no requests after two seconds. */
     static final long TOGETHER_NANOS = TimeUnit.MILLISECONDS.toNanos(1000);
-    /** Share of a service's servers from which on they count as disappearing together. */
-    private static final double TOGETHER_SHARE = 0.34;
-    /** Smallest number of servers that count as disappearing together. */
-    private static final int TOGETHER_MIN = 2;
+    /** Smallest share of a service's servers that counts as disappearing together. */
+    private static final double MIN_TOGETHER_SHARE = 0.34;
+    /** Smallest number of servers that counts as disappearing together. */
+    private static final int MIN_TOGETHER = 2;
 
     private final Map<String, Retained> retained = new HashMap<>();
 
@@ -43,7 +43,8 @@
         }
         disappeared.forEach((service, servers) -> {
             int acceptingBefore = before.accepting(service).size();
-            boolean isTogether = servers.size() >= TOGETHER_MIN && servers.size() >= TOGETHER_SHARE * acceptingBefore;
+            boolean isTogether =
+                    servers.size() >= MIN_TOGETHER && servers.size() >= MIN_TOGETHER_SHARE * acceptingBefore;
             if (isAfterOutage || isTogether) {
                 long untilNanos = nowNanos + (isAfterOutage ? AFTER_OUTAGE_NANOS : TOGETHER_NANOS);
                 servers.forEach(server -> retained.put(server.id(), new Retained(server, untilNanos)));
--- a/coppershelf/src/main/java/io/coppershelf/routing/RequestPipeline.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/RequestPipeline.java
@@ -3,7 +3,7 @@
 import io.coppershelf.component.ComponentKey;
 import java.util.concurrent.CompletableFuture;
 
-/** Serves complete requests of callers. Safe for use by several threads. */
+/** Serves complete requests of callers. Thread-safe. */
 public interface RequestPipeline {
     ComponentKey<RequestPipeline> NAME = ComponentKey.named("routing", RequestPipeline.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/routing/RequestResult.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/RequestResult.java
@@ -10,7 +10,7 @@
  *
  * @param answer the answer, empty if there is an error
  * @param error the error kind, empty if there is an answer
- * @param retryAfter the time after which to retry, if there is one
+ * @param retryAfter the time after which to retry, empty if a retry is not advised
  */
 public record RequestResult(Optional<Answer> answer, Optional<ErrorKind> error, Optional<Duration> retryAfter) {
     /** Returns the result of a request that was answered. */
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupLoadCache.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupLoadCache.java
@@ -8,10 +8,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/**
- * Caches the load that owners last reported for their groups; entries expire after a short time. Safe for use by
- * several threads.
- */
+/** Caches the load that owners last reported for their groups; entries expire after a short time. Thread-safe. */
 final class GroupLoadCache {
     private static final Duration ENTRY_LIFETIME = Duration.ofSeconds(1);
     private static final Duration WAIT_AFTER_REFUSAL = Duration.ofSeconds(1);
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupSelector.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/GroupSelector.java
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Selects a group, empty if there is no candidate.
+     * Returns the selected group, empty if there is no candidate.
      *
      * @param candidates the groups that may be used
      * @param expectedWaitNanos the last known wait of a group
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/LatencyPercentile.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/LatencyPercentile.java
@@ -3,8 +3,8 @@
 import java.util.OptionalLong;
 
 /**
- * Estimates the 95th percentile of the latency of one route in constant space, by stochastic approximation. Not safe
- * for use by several threads.
+ * Estimates the 95th percentile of the latency of one route in constant space, by stochastic approximation. Not
+ * thread-safe.
  *
  * @see <a href="https://doi.org/10.1214/aoms/1177729586">Robbins and Monro, A Stochastic Approximation Method, 1951</a>
  */
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestAction.java
@@ -21,7 +21,7 @@
     /** Cancels an attempt. */
     record CancelAttempt(int number) implements RequestAction {}
 
-    /** Answers the caller; returned exactly once for each request. */
+    /** Answers the caller; returned at most once for each request. */
     record AnswerCaller(RequestResult result) implements RequestAction {}
 
     /**
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RequestDecisions.java
@@ -23,7 +23,7 @@
  *
  * <p>A non-idempotent request has at most one attempt in flight, and is retried only if the result of the previous
  * attempt proves that it did not run. The caller receives {@code not run} only if that is proved for every attempt. Not
- * safe for use by several threads.
+ * thread-safe.
  */
 public final class RequestDecisions {
     private static final int MAX_ATTEMPTS = 3;
@@ -135,7 +135,9 @@
         return retry(ended, error, actions);
     }
 
-    /** Returns whether the owner was unavailable, so that the attempt can be sent to another one. */
+    /**
+     * Returns whether the owner itself, not a backend server, refused the attempt, so that another owner can serve it.
+     */
     private static boolean isOwnerUnavailable(ErrorKind error) {
         return error == ErrorKind.OWNER_UNREACHABLE || error == ErrorKind.STOPPING || error == ErrorKind.STARTING;
     }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/RoutedRequest.java
@@ -116,6 +116,6 @@
                 request.deadlineNanos());
     }
 
-    /** The services that all requests share. */
+    /** The objects that all requests share. */
     record RoutingContext(AttemptSender sender, OwnerLookup lookup, GroupLoadCache loads, TimeSource time) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/Routing.java
@@ -21,7 +21,7 @@
     private final RequestTimers timers = new RequestTimers();
     private volatile RequestPipeline pipeline;
 
-    /** Looks up the services of other components. */
+    /** Looks up the interfaces of other components. */
     public void start(ComponentRegistry registry) {
         TimeSource time = registry.require(TimeSource.NAME);
         OwnerLookup lookup = new OwnerLookup(registry.require(FleetView.Source.NAME));
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/ServiceGroups.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/ServiceGroups.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 
-/** Caches the server groups of services until the configuration changes. Safe for use by several threads. */
+/** Caches the server groups of services until the configuration changes. Thread-safe. */
 final class ServiceGroups {
     private final Configuration.Source source;
     private volatile Table table;
--- a/coppershelf/src/main/java/io/coppershelf/routing/internal/ServiceRetryBudget.java
+++ b/coppershelf/src/main/java/io/coppershelf/routing/internal/ServiceRetryBudget.java
@@ -1,8 +1,7 @@
 package io.coppershelf.routing.internal;
 
 /**
- * Limits the retries of a service to a tenth of its first attempts, with a small burst. Not safe for use by several
- * threads.
+ * Limits the retries of a service to a tenth of its first attempts, with a small burst. Not thread-safe.
  *
  * @see <a href="https://sre.google/sre-book/handling-overload/">Site Reliability Engineering, chapter 21, per-client
  *     retry budget</a>
