--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
@@ -32,7 +32,7 @@
      */
     private static final Duration CHANGE_WAIT = Duration.ofMillis(100);
     /**
-     * Age of the catalog from which on the platform counts as unavailable; by then several readings of all VMs have
+     * Longest age of the catalog at which the platform counts as available; beyond it, several readings of all VMs have
      * failed.
      */
     private static final long OUTAGE_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
--- a/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
@@ -21,11 +21,11 @@
 public final class Membership {
     /** Time without a new heartbeat after which a VM is considered down; several rounds of gossip. */
     static final long DOWN_NANOS = TimeUnit.SECONDS.toNanos(8);
-    /** Time without a new heartbeat after which a VM is removed; that of a VM that restarts arrives sooner. */
+    /** Time without a new heartbeat after which a VM is removed; a VM that restarts sends one sooner. */
     static final long REMOVAL_NANOS = TimeUnit.SECONDS.toNanos(30);
     /** Time after its start in which the membership of a VM may be incomplete. */
     static final long JOINING_NANOS = TimeUnit.SECONDS.toNanos(5);
-    /** Size of the fleet that a VM assumes until then; about the size of the larger deployments. */
+    /** Size of the fleet that a VM assumes during this time; about the size of the larger deployments. */
     static final int ASSUMED_FLEET_SIZE = 100;
     /** Largest number of entries of other VMs in a message, so that it fits into one packet. */
     private static final int MAX_ENTRIES_PER_MESSAGE = 16;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/PlatformReadSchedule.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/PlatformReadSchedule.java
@@ -12,7 +12,9 @@
  */
 public final class PlatformReadSchedule {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-    /** The age at which the first VM reads; a fifth of the two seconds within which a change has to be in force. */
+    /**
+     * The age at which the first VM reads; under a fifth of the two seconds within which a change has to be in force.
+     */
     private static final long FIRST_AGE_NANOS = 350 * MILLI;
     /** The age at which the second VM reads; the reading of the first one is overdue then. */
     private static final long SECOND_AGE_NANOS = 700 * MILLI;
--- a/coppershelf/src/main/java/io/coppershelf/proxy/HeaderNames.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/HeaderNames.java
@@ -3,7 +3,7 @@
 /**
  * The names of the headers of the protocol with callers and servers; the platform that the daemon runs on defines them.
  *
- * @param requestId the id of a caller's attempt
+ * @param requestId the id that a caller assigns to each of its own attempts; a server repeats it in its answer
  * @param deadlineMillis the time for which the sender waits for the answer, in milliseconds
  * @param targetServer the id of the only server that may run the request
  * @param signature the signature that proves that an answer is from the server
--- a/coppershelf/src/main/java/io/coppershelf/proxy/TrafficContext.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/TrafficContext.java
@@ -53,7 +53,7 @@
                 new HashMap<>());
     }
 
-    /** Returns the typical latency of a service for one kind of requests. */
+    /** Returns the typical latency of a service for one kind of requests, whatever their route. */
     TypicalLatency latency(String service, String kind) {
         return latencies.computeIfAbsent(service + '/' + kind, key -> new TypicalLatency());
     }
--- a/coppershelf/src/test/java/io/coppershelf/mesh/PlatformReadScheduleTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/mesh/PlatformReadScheduleTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Scenario: every VM needs changes within two seconds, but the platform allows few calls. */
+/** Scenario: every VM needs changes within two seconds, but calls to the platform are limited and expensive. */
 final class PlatformReadScheduleTest {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long OLD = TimeUnit.MINUTES.toNanos(1);
