--- a/bench/src/main/java/io/coppershelf/bench/matrix/RequestSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/RequestSimulation.java
@@ -188,7 +188,7 @@
                 .forEach(peer -> network.send(id, peer, () -> {
                     ClaimPage page = holders.get(peer).page("", key -> true, network.nowNanos());
                     network.send(peer, id, () -> {
-                        holders.get(id).merge(page.attempts(), network.nowNanos());
+                        holders.get(id).merge(page.claims(), network.nowNanos());
                         holders.get(id).onPullComplete(peer, page.historyKnown(), page.lost());
                     });
                 }));
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
@@ -88,7 +88,7 @@
                 105,
                 ClaimPage.class,
                 (m, out) -> {
-                    writeList(m.attempts(), ClaimCodecs::writeClaim, out);
+                    writeList(m.claims(), ClaimCodecs::writeClaim, out);
                     out.packString(m.last()).packBoolean(m.complete()).packBoolean(m.historyKnown());
                     writeList(m.lost(), (id, packer) -> packer.packString(id), out);
                 },
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
@@ -42,14 +42,14 @@
     /**
      * The reply to a {@link ClaimPull}.
      *
-     * @param attempts the claim records
+     * @param claims the claim records
      * @param last the last key that the page covers
      * @param complete whether this is the last page
      * @param historyKnown whether the sender has the claim records from before its start
      * @param lost the VMs that the sender recorded as lost within the window
      */
     record ClaimPage(
-            List<TransferredClaim> attempts, String last, boolean complete, boolean historyKnown, List<String> lost)
+            List<TransferredClaim> claims, String last, boolean complete, boolean historyKnown, List<String> lost)
             implements ClaimMessage {}
 
     /** Sends claim records to a VM that has become a holder of their keys. */
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
@@ -126,7 +126,7 @@
             return;
         }
         ClaimPage page = (ClaimPage) ((PeerReply.Received) reply).message();
-        holder.merge(page.attempts(), time.nanos());
+        holder.merge(page.claims(), time.nanos());
         if (!page.complete()) {
             pull(id, page.last());
             return;
@@ -161,7 +161,7 @@
 
     private List<CompletableFuture<PeerReply>> pushPage(ClaimPage page, Function<String, List<String>> targets) {
         Map<String, List<TransferredClaim>> byTarget = new TreeMap<>();
-        for (TransferredClaim claim : page.attempts()) {
+        for (TransferredClaim claim : page.claims()) {
             for (String target : targets.apply(claim.key())) {
                 byTarget.computeIfAbsent(target, id -> new ArrayList<>()).add(claim);
             }
--- a/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/claim/internal/ClaimFleetTest.java
@@ -127,7 +127,7 @@
             send(() -> {
                 ClaimPage page = holders.get(peer).page("", key -> true, now);
                 send(() -> {
-                    holder.merge(page.attempts(), now);
+                    holder.merge(page.claims(), now);
                     holder.onPullComplete(peer, page.historyKnown(), page.lost());
                 });
             });
