--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
@@ -13,12 +13,12 @@
     /** The maximum number of concurrent cancellations and probes per server. */
     static final int MAX_CONTROL_EXCHANGES = 2;
 
-    private final ConcurrentMap<Address, Semaphore> forTries = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Address, Semaphore> forAttempts = new ConcurrentHashMap<>();
     private final ConcurrentMap<Address, Semaphore> forControl = new ConcurrentHashMap<>();
 
     /** Returns the permits for attempts on the server. */
     Semaphore forAttempts(ServerSpec server) {
-        return forTries.computeIfAbsent(Address.of(server), key -> new Semaphore(server.slots()));
+        return forAttempts.computeIfAbsent(Address.of(server), key -> new Semaphore(server.slots()));
     }
 
     /** Returns the permits for cancellations and probes of the server. */
