--- a/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Claims idempotency keys across the fleet. Safe for use by several threads. */
+/** Claims idempotency keys across the fleet. Thread-safe. */
 public interface Claims {
     ComponentKey<Claims> NAME = ComponentKey.named("claim", Claims.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends claims and outcomes of requests to the holders of their keys. Safe for use by several threads. */
+/** Sends claims and outcomes of requests to the holders of their keys. Thread-safe. */
 public final class ClaimRequester {
     private final HolderState holder;
     private final PeerExchange peers;
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * One request's claim on its key: collects the decisions of the holders until the result is determined. Not safe for
- * use by several threads.
+ * One request's claim on its key: collects the decisions of the holders until the result is determined. Not
+ * thread-safe.
  */
 public final class ClaimRound {
     private final Set<String> pending;
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
@@ -12,7 +12,7 @@
 
 /**
  * The claim records that one VM holds, by key. Received updates are merged so that their order and duplicates make no
- * difference to the state. Not safe for use by several threads.
+ * difference to the state. Not thread-safe.
  */
 public final class ClaimTable {
     private final int capacity;
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
@@ -9,10 +9,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/**
- * The state of one VM as a holder: its claim records, and for which keys they are complete. Safe for use by several
- * threads.
- */
+/** The state of one VM as a holder: its claim records, and for which keys they are complete. Thread-safe. */
 public final class HolderState {
     private final ClaimTable table = new ClaimTable(ClaimLimits.MAX_CLAIM_RECORDS);
     private final ClaimCoverage coverage;
--- a/coppershelf/src/main/java/io/coppershelf/floor/EjectionGrants.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/EjectionGrants.java
@@ -4,7 +4,7 @@
 
 /**
  * Requests grants to eject servers; the owner of a server group needs one for each server that it ejects. A grant is
- * the right to eject one server for a limited time. Safe for use by several threads.
+ * the right to eject one server for a limited time. Thread-safe.
  */
 public interface EjectionGrants {
     ComponentKey<EjectionGrants> NAME = ComponentKey.named("floor", EjectionGrants.class);
--- a/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
@@ -50,7 +50,7 @@
         return ranked(key, "", limit);
     }
 
-    /** Provides the current view of the fleet. Safe for use by several threads. */
+    /** Provides the current view of the fleet. Thread-safe. */
     interface Source {
         ComponentKey<Source> NAME = ComponentKey.named("fleet", Source.class);
 
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The decisions on which VMs are live: an event and the time in, actions out. Not safe for use by several threads.
+ * The decisions on which VMs are live: an event and the time in, actions out. Not thread-safe.
  *
  * <p>A VM is marked as gone when the platform's VM list drops it, or when probes of several VMs fail and it does not
  * refute the suspicion in time. Failed probes right after a pause of this VM are ignored.
