--- a/coppershelf/src/main/java/io/coppershelf/cli/EntryCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/EntryCommand.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 
 /** Runs the daemon of an entry VM. */
-@Command(name = "entry", description = "Runs the daemon of an entry VM until it is told to end by SIGTERM")
+@Command(name = "entry", description = "Runs the daemon of an entry VM until it receives SIGTERM")
 @ExitCodes(
         codes = {ExitCode.OK, ExitCode.FAILED, ExitCode.USAGE, ExitCode.INVALID_FILE},
         descriptions = {
--- a/coppershelf/src/main/java/io/coppershelf/cli/ExplainCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/ExplainCommand.java
@@ -22,7 +22,7 @@
 /** Explains what happened to a request, from the logs of one or more VMs. */
 @Command(
         name = "explain",
-        description = "Tells what happened to a request, and what was known of its servers, from logs")
+        description = "Explains what happened to a request and what was known of its servers, from logs")
 @ExitCodes(
         codes = {ExitCode.OK, ExitCode.FAILED, ExitCode.USAGE},
         descriptions = {
