--- a/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
@@ -7,17 +7,17 @@
 import io.coppershelf.admission.GroupAction.Probe;
 import io.coppershelf.admission.GroupAction.QueryReachability;
 import io.coppershelf.admission.GroupAction.Refuse;
-import io.coppershelf.admission.GroupAction.ReleaseEjection;
-import io.coppershelf.admission.GroupAction.RequestEjection;
+import io.coppershelf.admission.GroupAction.ReleaseGrant;
+import io.coppershelf.admission.GroupAction.RequestGrant;
 import io.coppershelf.admission.GroupAction.ShareServiceTimes;
 import io.coppershelf.admission.GroupEvent;
+import io.coppershelf.admission.GroupEvent.AttemptArrived;
 import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
-import io.coppershelf.admission.GroupEvent.EjectionGranted;
-import io.coppershelf.admission.GroupEvent.EjectionRefused;
+import io.coppershelf.admission.GroupEvent.GrantReceived;
+import io.coppershelf.admission.GroupEvent.GrantRefused;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
 import io.coppershelf.admission.GroupEvent.ReachabilityReported;
-import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.ServiceTimesReceived;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.admission.GroupStatus;
@@ -79,7 +79,7 @@
     void accept(Attempt attempt) {
         KindProfile kind = attempt.request().kind();
         openAttempts.put(attempt.attemptId(), attempt);
-        deliver(new RequestArrived(
+        deliver(new AttemptArrived(
                 attempt.attemptId(),
                 kind.name(),
                 kind.idempotent(),
@@ -106,9 +106,9 @@
             reply(refuse.attemptId(), Reply.notRun());
         } else if (action instanceof CancelOnServer cancel) {
             cancel(cancel);
-        } else if (action instanceof RequestEjection request) {
+        } else if (action instanceof RequestGrant request) {
             simulation.time().after(PEER_DELAY_NANOS, () -> requestGrant(request.server()));
-        } else if (action instanceof ReleaseEjection release) {
+        } else if (action instanceof ReleaseGrant release) {
             simulation.floor().release(release.server());
         } else if (action instanceof Probe probe) {
             probe(probe.server());
@@ -201,7 +201,7 @@
         long now = simulation.time().now();
         boolean granted = simulation.floor().request(server, now);
         GroupEvent result =
-                granted ? new EjectionGranted(server, now + FloorCounter.GRANT_NANOS) : new EjectionRefused(server);
+                granted ? new GrantReceived(server, now + FloorCounter.GRANT_NANOS) : new GrantRefused(server);
         simulation.time().after(PEER_DELAY_NANOS, () -> deliver(result));
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
@@ -6,10 +6,10 @@
 import io.coppershelf.admission.GroupAction.Probe;
 import io.coppershelf.admission.GroupAction.Refuse;
 import io.coppershelf.admission.GroupEvent;
+import io.coppershelf.admission.GroupEvent.AttemptArrived;
 import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
-import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
@@ -37,7 +37,7 @@
     private final Picker picker;
     private final Detector detector;
     private final boolean enforcesSlots;
-    private final Deque<RequestArrived> queue = new ArrayDeque<>();
+    private final Deque<AttemptArrived> queue = new ArrayDeque<>();
     private final Map<String, ServerSpec> servers = new TreeMap<>();
     private final Map<String, String> serverByAttempt = new HashMap<>();
     private final Map<String, Integer> inFlight = new HashMap<>();
@@ -66,8 +66,8 @@
         List<GroupAction> actions = new ArrayList<>();
         if (event instanceof Configured configured) {
             configured.servers().forEach(server -> servers.put(server.name(), server));
-        } else if (event instanceof RequestArrived request) {
-            queue.add(request);
+        } else if (event instanceof AttemptArrived attempt) {
+            queue.add(attempt);
         } else if (event instanceof AttemptEnded ended) {
             endAttempt(ended, nowNanos);
         } else if (event instanceof ProbeEnded probe) {
@@ -124,7 +124,7 @@
 
     private void dispatch(long nowNanos, List<GroupAction> actions) {
         while (!queue.isEmpty()) {
-            RequestArrived first = queue.peek();
+            AttemptArrived first = queue.peek();
             List<ServerSpec> candidates = candidates();
             boolean late = first.deadlineNanos() <= nowNanos;
             if (!late && candidates.isEmpty()) {
--- a/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
@@ -68,11 +68,11 @@
         }
         openAttempts.put(attemptId, reply);
         long deadline = network.nowNanos() + remaining.toNanos();
-        handle(new GroupEvent.RequestArrived(attemptId, SERVICE + "/release", false, 5, deadline, false));
+        handle(new GroupEvent.AttemptArrived(attemptId, SERVICE + "/release", false, 5, deadline, false));
     }
 
     void cancel(String attemptId) {
-        handle(new GroupEvent.RequestCancelled(attemptId));
+        handle(new GroupEvent.AttemptCancelled(attemptId));
     }
 
     private void tick() {
@@ -100,8 +100,8 @@
             reply(refuse.attemptId(), AttemptResult.refused(refuse.error(), refuse.retryAfter()));
         } else if (action instanceof GroupAction.CancelOnServer cancel) {
             cancelOnServer(cancel.attemptId(), servers.get(cancel.server()));
-        } else if (action instanceof GroupAction.RequestEjection request) {
-            handle(new GroupEvent.EjectionRefused(request.server()));
+        } else if (action instanceof GroupAction.RequestGrant request) {
+            handle(new GroupEvent.GrantRefused(request.server()));
         }
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
@@ -68,7 +68,7 @@
     private static void serve(ServerGroup group, long run, long nowNanos) {
         String attemptId = "try-" + run;
         GroupEvent arrival =
-                new GroupEvent.RequestArrived(attemptId, "service-0/kind-1", true, 1, nowNanos + DEADLINE_NANOS, false);
+                new GroupEvent.AttemptArrived(attemptId, "service-0/kind-1", true, 1, nowNanos + DEADLINE_NANOS, false);
         List<GroupAction> actions = group.on(arrival, nowNanos);
         if (actions.stream().noneMatch(GroupAction.Dispatch.class::isInstance)) {
             throw new IllegalStateException("expected a dispatch but got " + actions);
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
@@ -17,10 +17,10 @@
     record CancelOnServer(String attemptId, String server) implements GroupAction {}
 
     /** Requests a grant to eject the server, or renews it. */
-    record RequestEjection(String server, String reason) implements GroupAction {}
+    record RequestGrant(String server, String reason) implements GroupAction {}
 
     /** Releases the grant to eject the server. */
-    record ReleaseEjection(String server) implements GroupAction {}
+    record ReleaseGrant(String server) implements GroupAction {}
 
     /** Probes the server. */
     record Probe(String server) implements GroupAction {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
@@ -19,7 +19,7 @@
     record Configured(ServiceSpec service, List<ServerSpec> servers) implements GroupEvent {}
 
     /**
-     * A request arrived.
+     * An attempt arrived.
      *
      * @param attemptId the id of the attempt, unique in the fleet
      * @param route the route
@@ -28,12 +28,12 @@
      * @param deadlineNanos the monotonic time after which its answer is of no use
      * @param hedge whether it is a hedge of an idempotent request, to be run on a free slot or refused
      */
-    record RequestArrived(
+    record AttemptArrived(
             String attemptId, String route, boolean idempotent, int weight, long deadlineNanos, boolean hedge)
             implements GroupEvent {}
 
-    /** The sender cancelled the request. */
-    record RequestCancelled(String attemptId) implements GroupEvent {}
+    /** The sender cancelled the attempt. */
+    record AttemptCancelled(String attemptId) implements GroupEvent {}
 
     /**
      * A dispatched attempt ended.
@@ -60,14 +60,14 @@
     /** Another VM reported whether it can reach the server, after {@link GroupAction.QueryReachability}. */
     record ReachabilityReported(String server, boolean reachable) implements GroupEvent {}
 
-    /** The grant to eject was issued or renewed. */
-    record EjectionGranted(String server, long untilNanos) implements GroupEvent {}
+    /** A grant to eject the server was issued or renewed. */
+    record GrantReceived(String server, long untilNanos) implements GroupEvent {}
 
-    /** The request for a grant to eject was refused. */
-    record EjectionRefused(String server) implements GroupEvent {}
+    /** The request for a grant to eject the server was refused. */
+    record GrantRefused(String server) implements GroupEvent {}
 
-    /** The grant to eject was revoked before its end, for example because a ticket raised the floor. */
-    record EjectionRevoked(String server) implements GroupEvent {}
+    /** The grant to eject the server was revoked before its end, for example because a ticket raised the floor. */
+    record GrantRevoked(String server) implements GroupEvent {}
 
     /** Time passed; sent at least every 50 ms. */
     record Tick() implements GroupEvent {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
@@ -3,14 +3,14 @@
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Refuse;
+import io.coppershelf.admission.GroupEvent.AttemptArrived;
+import io.coppershelf.admission.GroupEvent.AttemptCancelled;
 import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
-import io.coppershelf.admission.GroupEvent.EjectionGranted;
-import io.coppershelf.admission.GroupEvent.EjectionRevoked;
+import io.coppershelf.admission.GroupEvent.GrantReceived;
+import io.coppershelf.admission.GroupEvent.GrantRevoked;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
 import io.coppershelf.admission.GroupEvent.ReachabilityReported;
-import io.coppershelf.admission.GroupEvent.RequestArrived;
-import io.coppershelf.admission.GroupEvent.RequestCancelled;
 import io.coppershelf.admission.GroupEvent.ServiceTimesReceived;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
@@ -49,7 +49,7 @@
  * <pre>{@code
  * ServerGroup group = ServerGroup.create(new GroupName("rotavis", "herning"), new Random(seed));
  * group.on(new GroupEvent.Configured(service, servers), now);
- * List<GroupAction> actions = group.on(new GroupEvent.RequestArrived(...), now);
+ * List<GroupAction> actions = group.on(new GroupEvent.AttemptArrived(...), now);
  * }</pre>
  */
 public final class ServerGroup implements ServerGroupDecisions {
@@ -94,14 +94,14 @@
     @Override
     public List<GroupAction> on(GroupEvent event, long nowNanos) {
         health.advance(nowNanos);
-        if (event instanceof RequestArrived request) {
-            handleArrival(request, nowNanos);
+        if (event instanceof AttemptArrived attempt) {
+            handleArrival(attempt, nowNanos);
         } else if (event instanceof AttemptEnded ended) {
             handleEnd(ended, nowNanos);
         } else if (event instanceof Tick) {
             health.tick(nowNanos);
             shedQueue(nowNanos);
-        } else if (event instanceof RequestCancelled cancelled) {
+        } else if (event instanceof AttemptCancelled cancelled) {
             cancel(cancelled.attemptId());
         } else if (event instanceof Configured configured) {
             configure(configured, nowNanos);
@@ -119,10 +119,10 @@
             health.serviceTimesReceived(message.sender(), message.typicalNanos(), nowNanos);
         } else if (event instanceof ReachabilityReported report) {
             health.reachabilityReported(report.server(), report.reachable(), nowNanos);
-        } else if (event instanceof EjectionGranted granted) {
-            health.ejectionGranted(granted.server(), granted.untilNanos(), nowNanos);
-        } else if (event instanceof EjectionRevoked revoked) {
-            health.ejectionRevoked(revoked.server(), nowNanos);
+        } else if (event instanceof GrantReceived granted) {
+            health.grantReceived(granted.server(), granted.untilNanos(), nowNanos);
+        } else if (event instanceof GrantRevoked revoked) {
+            health.grantRevoked(revoked.server(), nowNanos);
         }
     }
 
@@ -132,20 +132,20 @@
         health.configure(configured.service(), configured.servers(), nowNanos);
     }
 
-    private void handleArrival(RequestArrived request, long nowNanos) {
+    private void handleArrival(AttemptArrived attempt, long nowNanos) {
         WaitEstimate estimate = estimate(nowNanos);
-        boolean admitted = request.hedge()
+        boolean admitted = attempt.hedge()
                 ? queue.isEmpty()
                         && selector.selectUnsuspected(servers.values(), nowNanos)
                                 .isPresent()
-                : admission.admits(request, estimate, nowNanos);
+                : admission.admits(attempt, estimate, nowNanos);
         retryAfterEstimate.recordDecision(admitted);
         if (admitted) {
-            queue.add(new QueuedAttempt(request, serviceTimes.meanNanos(request.route())));
+            queue.add(new QueuedAttempt(attempt, serviceTimes.meanNanos(attempt.route())));
             return;
         }
         ErrorKind error = estimate.slots() == 0 ? ErrorKind.NO_SERVER : ErrorKind.OVERLOADED;
-        actions.add(new Refuse(request.attemptId(), error, retryAfterEstimate.retryAfter(expectedWaitNanos(estimate))));
+        actions.add(new Refuse(attempt.attemptId(), error, retryAfterEstimate.retryAfter(expectedWaitNanos(estimate))));
     }
 
     private void shedQueue(long nowNanos) {
@@ -172,7 +172,7 @@
         AttemptEnd end = AttemptEndClassifier.classify(ended);
         if (end == AttemptEnd.ANSWERED) {
             backoff.recordSuccess(attempt.server());
-            serviceTimes.record(attempt.request().route(), health.observedNanos() - attempt.dispatchedNanos());
+            serviceTimes.record(attempt.arrival().route(), health.observedNanos() - attempt.dispatchedNanos());
         } else if (end == AttemptEnd.REFUSED) {
             backoff.recordRefusal(attempt.server(), nowNanos);
         }
@@ -203,7 +203,7 @@
 
     private Optional<String> serverFor(QueuedAttempt queued, long nowNanos) {
         Optional<String> best = selector.selectUnsuspected(servers.values(), nowNanos);
-        if (best.isPresent() || queued.request().hedge() || canStayQueued(queued, nowNanos)) {
+        if (best.isPresent() || queued.arrival().hedge() || canStayQueued(queued, nowNanos)) {
             return best;
         }
         return selector.selectSuspected(servers.values(), nowNanos);
@@ -227,16 +227,16 @@
     }
 
     private boolean isFitForTrial(QueuedAttempt queued, long nowNanos) {
-        return queued.request().idempotent()
-                && !queued.request().hedge()
+        return queued.arrival().idempotent()
+                && !queued.arrival().hedge()
                 && queued.slackNanos(nowNanos) >= TRIAL_SLACK_FACTOR * queued.expectedNanos();
     }
 
     private void dispatch(QueuedAttempt queued, String server, long nowNanos) {
-        RequestArrived request = queued.request();
-        slots.occupy(new RunningAttempt(request, server, health.observedNanos()));
-        health.dispatched(request.attemptId(), server, request.route(), request.idempotent(), nowNanos);
-        actions.add(new Dispatch(request.attemptId(), server));
+        AttemptArrived attempt = queued.arrival();
+        slots.occupy(new RunningAttempt(attempt, server, health.observedNanos()));
+        health.dispatched(attempt.attemptId(), server, attempt.route(), attempt.idempotent(), nowNanos);
+        actions.add(new Dispatch(attempt.attemptId(), server));
     }
 
     private WaitEstimate estimate(long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
@@ -24,13 +24,13 @@
     }
 
     @Override
-    public void requestEjection(String server, String reason) {
-        add(new GroupAction.RequestEjection(server, reason));
+    public void requestGrant(String server, String reason) {
+        add(new GroupAction.RequestGrant(server, reason));
     }
 
     @Override
-    public void releaseEjection(String server) {
-        add(new GroupAction.ReleaseEjection(server));
+    public void releaseGrant(String server) {
+        add(new GroupAction.ReleaseGrant(server));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
@@ -1,6 +1,6 @@
 package io.coppershelf.admission.internal;
 
-import io.coppershelf.admission.GroupEvent.RequestArrived;
+import io.coppershelf.admission.GroupEvent.AttemptArrived;
 
 /** Decides at arrival whether a request can be answered in time; requests with the lowest weight are refused first. */
 public final class AdmissionControl {
@@ -20,22 +20,22 @@
     }
 
     /** Returns whether the request can be answered in time and is admitted to the queue. */
-    public boolean admits(RequestArrived request, WaitEstimate estimate, long nowNanos) {
-        backlogLimit.recordArrival(request.weight(), request.deadlineNanos() - nowNanos, nowNanos);
+    public boolean admits(AttemptArrived attempt, WaitEstimate estimate, long nowNanos) {
+        backlogLimit.recordArrival(attempt.weight(), attempt.deadlineNanos() - nowNanos, nowNanos);
         if (estimate.slots() == 0) {
             return false;
         }
-        int index = queue.insertionIndex(request.deadlineNanos());
+        int index = queue.insertionIndex(attempt.deadlineNanos());
         long wait = estimate.waitNanos(queue, index);
-        long serviceTime = serviceTimes.meanNanos(request.route());
+        long serviceTime = serviceTimes.meanNanos(attempt.route());
         long backlog = estimate.waitNanos(queue, queue.size());
-        return (double) backlog <= backlogLimit.backlogLimitNanos(request.weight())
-                && fitsDeadline(request, wait, serviceTime, nowNanos)
+        return (double) backlog <= backlogLimit.backlogLimitNanos(attempt.weight())
+                && fitsDeadline(attempt, wait, serviceTime, nowNanos)
                 && estimate.keepsLaterDeadlines(queue, index, serviceTime, nowNanos);
     }
 
-    private boolean fitsDeadline(RequestArrived request, long wait, long serviceTime, long nowNanos) {
-        long slack = request.deadlineNanos() - nowNanos;
+    private boolean fitsDeadline(AttemptArrived attempt, long wait, long serviceTime, long nowNanos) {
+        long slack = attempt.deadlineNanos() - nowNanos;
         if (wait == 0) {
             return serviceTime <= slack;
         }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
@@ -18,7 +18,7 @@
 
     /** Adds an attempt at the position of its deadline. */
     public void add(QueuedAttempt attempt) {
-        attempts.add(insertionIndex(attempt.request().deadlineNanos()), attempt);
+        attempts.add(insertionIndex(attempt.arrival().deadlineNanos()), attempt);
         totalWorkNanos += attempt.expectedNanos();
     }
 
@@ -28,7 +28,7 @@
         int high = attempts.size();
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (attempts.get(middle).request().deadlineNanos() - deadlineNanos <= 0) {
+            if (attempts.get(middle).arrival().deadlineNanos() - deadlineNanos <= 0) {
                 low = middle + 1;
             } else {
                 high = middle;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/LeastLoadedSelector.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/LeastLoadedSelector.java
@@ -106,7 +106,7 @@
                     : Math.max(0, allowed - slots.inFlight(server.name()));
             for (RunningAttempt running : slots.running(server.name())) {
                 residual += serviceTimes.residualNanos(
-                        running.request().route(), health.observedNanos() - running.dispatchedNanos());
+                        running.arrival().route(), health.observedNanos() - running.dispatchedNanos());
             }
         }
         return new WaitEstimate(total, free, residual);
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/QueueShedder.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/QueueShedder.java
@@ -43,6 +43,6 @@
     }
 
     private static double value(QueuedAttempt attempt) {
-        return (double) attempt.request().weight() / Math.max(1, attempt.expectedNanos());
+        return (double) attempt.arrival().weight() / Math.max(1, attempt.expectedNanos());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActionExecutor.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActionExecutor.java
@@ -38,9 +38,9 @@
 
     @Override
     public void perform(GroupAction action) {
-        if (action instanceof GroupAction.RequestEjection request) {
+        if (action instanceof GroupAction.RequestGrant request) {
             grants.request(name.service(), request.server(), this);
-        } else if (action instanceof GroupAction.ReleaseEjection release) {
+        } else if (action instanceof GroupAction.ReleaseGrant release) {
             grants.release(name.service(), release.server());
         } else if (action instanceof GroupAction.Probe probe) {
             probe(probe.server());
@@ -80,16 +80,16 @@
 
     @Override
     public void granted(String server, long untilNanos) {
-        group.on(new GroupEvent.EjectionGranted(server, untilNanos));
+        group.on(new GroupEvent.GrantReceived(server, untilNanos));
     }
 
     @Override
     public void refused(String server) {
-        group.on(new GroupEvent.EjectionRefused(server));
+        group.on(new GroupEvent.GrantRefused(server));
     }
 
     @Override
     public void revoked(String server) {
-        group.on(new GroupEvent.EjectionRevoked(server));
+        group.on(new GroupEvent.GrantRevoked(server));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
@@ -85,7 +85,7 @@
             pending.end(AttemptResult.failed(ErrorKind.OWNER_LOST));
             return pending;
         }
-        on(new GroupEvent.RequestArrived(
+        on(new GroupEvent.AttemptArrived(
                 request.attemptId(),
                 request.route(),
                 request.idempotent(),
@@ -96,7 +96,7 @@
     }
 
     private void cancel(PendingAttempt pending) {
-        on(new GroupEvent.RequestCancelled(pending.request().attemptId()));
+        on(new GroupEvent.AttemptCancelled(pending.request().attemptId()));
         endIfQueued(pending, AttemptResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
@@ -233,14 +233,14 @@
     }
 
     /** Records that the grant to eject the server is held until the given time. */
-    public void ejectionGranted(String server, long untilNanos, long nowNanos) {
+    public void grantReceived(String server, long untilNanos, long nowNanos) {
         find(server)
                 .ifPresentOrElse(
-                        health -> health.granted(untilNanos, time(nowNanos)), () -> commands.releaseEjection(server));
+                        health -> health.granted(untilNanos, time(nowNanos)), () -> commands.releaseGrant(server));
     }
 
     /** Records that the grant to eject the server was revoked before its end. */
-    public void ejectionRevoked(String server, long nowNanos) {
+    public void grantRevoked(String server, long nowNanos) {
         find(server).ifPresent(health -> health.revoked(time(nowNanos)));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
@@ -5,10 +5,10 @@
 /** The commands that the health of a group issues to its owner. */
 public interface HealthCommands {
     /** Requests a grant to eject the server, or renews it. */
-    void requestEjection(String server, String reason);
+    void requestGrant(String server, String reason);
 
     /** Releases the grant to eject the server. */
-    void releaseEjection(String server);
+    void releaseGrant(String server);
 
     /** Probes the server. */
     void probe(String server);
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
@@ -117,7 +117,7 @@
     public void granted(long untilNanos, EventTime time) {
         boolean isOutOfService = condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION;
         if (!isOutOfService && condition != ServerCondition.SUSPECTED) {
-            commands.releaseEjection(server);
+            commands.releaseGrant(server);
             return;
         }
         grant.grant(time.nowNanos(), untilNanos);
@@ -185,7 +185,7 @@
         boolean isEarly = allSuspected && time.nowNanos() - sinceNanos < MIN_COMMON_SUSPICION_NANOS;
         boolean isPathKnown = pathState == State.CLEAR || pathState == State.DOWN;
         if (isStrong && isPathKnown && !isEarly && grant.shouldRequest(time.nowNanos())) {
-            commands.requestEjection(server, reason);
+            commands.requestGrant(server, reason);
         }
     }
 
@@ -229,7 +229,7 @@
 
     private void renewGrant(EventTime time) {
         if (grant.shouldRequest(time.nowNanos())) {
-            commands.requestEjection(server, reason);
+            commands.requestGrant(server, reason);
         }
     }
 
@@ -252,7 +252,7 @@
 
     private void releaseGrant() {
         if (grant.release()) {
-            commands.releaseEjection(server);
+            commands.releaseGrant(server);
         }
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/GroupDriver.java
@@ -2,9 +2,9 @@
 
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
+import io.coppershelf.admission.GroupEvent.AttemptArrived;
 import io.coppershelf.admission.GroupEvent.AttemptEnded;
 import io.coppershelf.admission.GroupEvent.Configured;
-import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.Tick;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
 import io.coppershelf.backend.BackendResult.ServerState;
@@ -69,7 +69,7 @@
 
     String request(String route, int weight, Duration deadline, boolean hedge) {
         String attemptId = "try-" + attempts++;
-        send(new RequestArrived(attemptId, route, !route.equals(CLAIM), weight, now + deadline.toNanos(), hedge));
+        send(new AttemptArrived(attemptId, route, !route.equals(CLAIM), weight, now + deadline.toNanos(), hedge));
         return attemptId;
     }
 
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupConditionTest.java
@@ -11,9 +11,9 @@
 import io.coppershelf.admission.GroupAction.Probe;
 import io.coppershelf.admission.GroupAction.Refuse;
 import io.coppershelf.admission.GroupAction.ShareServiceTimes;
-import io.coppershelf.admission.GroupEvent.EjectionGranted;
+import io.coppershelf.admission.GroupEvent.AttemptCancelled;
+import io.coppershelf.admission.GroupEvent.GrantReceived;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
-import io.coppershelf.admission.GroupEvent.RequestCancelled;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.health.ServerCondition;
 import io.coppershelf.outcome.ErrorKind;
@@ -77,10 +77,10 @@
         driver.configure(server("a", 1, false));
         String running = driver.request(CLAIM, 1, SECOND);
         String queued = driver.request(CLAIM, 1, SECOND);
-        driver.send(new RequestCancelled(queued));
+        driver.send(new AttemptCancelled(queued));
         assertThat(driver.all(Refuse.class))
                 .containsExactly(new Refuse(queued, ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
-        driver.send(new RequestCancelled(running));
+        driver.send(new AttemptCancelled(running));
         assertThat(driver.all(CancelOnServer.class)).containsExactly(new CancelOnServer(running, "a"));
         assertThat(driver.all(Dispatch.class)).isEmpty();
     }
@@ -90,7 +90,7 @@
         driver.configure(server("a", 2, false), server("b", 6, false));
         driver.serve().load(READ, SECOND).stall("a").load(READ, SECOND);
         driver.send(new ProbeEnded("a", Optional.of(ServerState.READY))).load(READ, SECOND);
-        driver.send(new EjectionGranted("a", driver.now + Duration.ofHours(1).toNanos()));
+        driver.send(new GrantReceived("a", driver.now + Duration.ofHours(1).toNanos()));
         driver.recover("a").advance(Duration.ofSeconds(6));
         assertThat(driver.status("a").condition()).isEqualTo(ServerCondition.PROBATION);
         driver.load(CLAIM, Duration.ofSeconds(3));
--- a/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/ServerGroupHealthTest.java
@@ -8,10 +8,10 @@
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.QueryReachability;
-import io.coppershelf.admission.GroupAction.ReleaseEjection;
-import io.coppershelf.admission.GroupAction.RequestEjection;
-import io.coppershelf.admission.GroupEvent.EjectionGranted;
-import io.coppershelf.admission.GroupEvent.EjectionRevoked;
+import io.coppershelf.admission.GroupAction.ReleaseGrant;
+import io.coppershelf.admission.GroupAction.RequestGrant;
+import io.coppershelf.admission.GroupEvent.GrantReceived;
+import io.coppershelf.admission.GroupEvent.GrantRevoked;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
 import io.coppershelf.admission.GroupEvent.ReachabilityReported;
 import io.coppershelf.admission.GroupEvent.Tick;
@@ -42,9 +42,9 @@
         driver.stall("a").load(READ, SECOND);
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
         assertThat(driver.all(QueryReachability.class)).contains(new QueryReachability("a"));
-        assertThat(driver.all(RequestEjection.class)).isEmpty();
+        assertThat(driver.all(RequestGrant.class)).isEmpty();
         driver.send(new ProbeEnded("a", Optional.of(ServerState.READY))).load(READ, SECOND);
-        assertThat(driver.all(RequestEjection.class)).containsExactly(new RequestEjection("a", "stalled"));
+        assertThat(driver.all(RequestGrant.class)).containsExactly(new RequestGrant("a", "stalled"));
     }
 
     @Test
@@ -76,7 +76,7 @@
     @Test
     void returnsToSuspicionWhenTheGrantIsRevoked() {
         eject("a", Duration.ofSeconds(4));
-        driver.send(new EjectionRevoked("a"));
+        driver.send(new GrantRevoked("a"));
         assertThat(condition("a")).isEqualTo(ServerCondition.SUSPECTED);
     }
 
@@ -84,7 +84,7 @@
     void renewsTheGrantBeforeItExpires() {
         eject("a", Duration.ofSeconds(4));
         driver.advance(Duration.ofSeconds(3));
-        assertThat(driver.all(RequestEjection.class)).isNotEmpty();
+        assertThat(driver.all(RequestGrant.class)).isNotEmpty();
     }
 
     @Test
@@ -93,7 +93,7 @@
         driver.recover("a").advance(Duration.ofSeconds(6));
         assertThat(condition("a")).isEqualTo(ServerCondition.PROBATION);
         driver.load(READ, Duration.ofSeconds(5));
-        assertThat(driver.all(ReleaseEjection.class)).containsExactly(new ReleaseEjection("a"));
+        assertThat(driver.all(ReleaseGrant.class)).containsExactly(new ReleaseGrant("a"));
         assertThat(condition("a")).isEqualTo(ServerCondition.IN_SERVICE);
     }
 
@@ -114,7 +114,7 @@
         driver.send(new ProbeEnded("a", Optional.empty()));
         driver.send(new ReachabilityReported("a", true));
         driver.load(READ, Duration.ofSeconds(4));
-        assertThat(driver.all(RequestEjection.class)).isEmpty();
+        assertThat(driver.all(RequestGrant.class)).isEmpty();
         assertThat(driver.all(Dispatch.class).stream().map(Dispatch::server).distinct())
                 .containsExactly("b", "c");
         assertThat(driver.status("a").reason()).isEqualTo("unreachable from this VM");
@@ -135,8 +135,8 @@
         }
         assertThat(manual.status("a").condition()).isEqualTo(ServerCondition.SUSPECTED);
         manual.send(new ReachabilityReported("a", false));
-        assertThat(manual.all(RequestEjection.class))
-                .containsExactly(new RequestEjection("a", "unreachable from several VMs"));
+        assertThat(manual.all(RequestGrant.class))
+                .containsExactly(new RequestGrant("a", "unreachable from several VMs"));
     }
 
     @Test
@@ -156,7 +156,7 @@
     void requestsNoEjectionWhileAllServersAreSuspected() {
         driver.stall("a").stall("b").stall("c").load(READ, SECOND);
         List.of("a", "b", "c").forEach(name -> driver.send(new ProbeEnded(name, Optional.of(ServerState.READY))));
-        assertThat(driver.all(RequestEjection.class)).isEmpty();
+        assertThat(driver.all(RequestGrant.class)).isEmpty();
         assertThat(conditions()).containsExactly(ServerCondition.SUSPECTED);
     }
 
@@ -183,14 +183,14 @@
 
     @Test
     void releasesAGrantThatItDoesNotNeed() {
-        driver.send(new EjectionGranted("b", driver.now + DEADLINE.toNanos()));
-        assertThat(driver.all(ReleaseEjection.class)).containsExactly(new ReleaseEjection("b"));
+        driver.send(new GrantReceived("b", driver.now + DEADLINE.toNanos()));
+        assertThat(driver.all(ReleaseGrant.class)).containsExactly(new ReleaseGrant("b"));
     }
 
     private void eject(String name, Duration grantDuration) {
         driver.stall(name).load(READ, SECOND);
         driver.send(new ProbeEnded(name, Optional.of(ServerState.READY))).load(READ, SECOND);
-        driver.send(new EjectionGranted(name, driver.now + grantDuration.toNanos()));
+        driver.send(new GrantReceived(name, driver.now + grantDuration.toNanos()));
     }
 
     private ServerCondition condition(String name) {
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionInternalsTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/AdmissionInternalsTest.java
@@ -3,8 +3,8 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import io.coppershelf.admission.GroupEvent.AttemptArrived;
 import io.coppershelf.admission.GroupEvent.AttemptEnded;
-import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.health.AttemptEnd;
 import io.coppershelf.outcome.ErrorKind;
@@ -19,7 +19,7 @@
     @Test
     void occupiesASlotFromDispatchToEnd() {
         SlotTable slots = new SlotTable();
-        RunningAttempt running = new RunningAttempt(new RequestArrived("try", "r", true, 1, 0, false), "a", 0);
+        RunningAttempt running = new RunningAttempt(new AttemptArrived("try", "r", true, 1, 0, false), "a", 0);
         slots.occupy(running);
         assertThat(slots.inFlight("a")).isEqualTo(1);
         assertThrows(IllegalStateException.class, () -> slots.occupy(running));
--- a/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
+++ b/coppershelf/src/test/java/io/coppershelf/admission/internal/QueueTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.coppershelf.admission.GroupEvent.RequestArrived;
+import io.coppershelf.admission.GroupEvent.AttemptArrived;
 import java.time.Duration;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -25,7 +25,7 @@
             filled.add(queued("try-" + number++, 1, deadline));
         }
         assertThat(filled.attempts().stream()
-                        .map(queued -> queued.request().deadlineNanos())
+                        .map(queued -> queued.arrival().deadlineNanos())
                         .toList())
                 .isInOrder();
         assertThat(filled.workNanos(filled.size())).isEqualTo(deadlines.size() * SERVICE);
@@ -67,21 +67,21 @@
         serviceTimes.record("heavy", SERVICE);
         AdmissionControl admission = new AdmissionControl(queue, serviceTimes);
         WaitEstimate estimate = new WaitEstimate(1, 0, SERVICE);
-        assertThat(admission.admits(request("first", 10, 2_000), estimate, 0)).isTrue();
+        assertThat(admission.admits(arrival("first", 10, 2_000), estimate, 0)).isTrue();
         for (int backlog = 0; backlog < 5; backlog++) {
             queue.add(queued("waiting-" + backlog, 10, 2_000));
         }
-        assertThat(admission.admits(request("light", 1, 2_000), estimate, 0)).isFalse();
-        assertThat(admission.admits(request("heavy", 10, 2_000), estimate, 0)).isTrue();
-        assertThat(admission.admits(request("urgent", 10, 90), estimate, 0)).isFalse();
+        assertThat(admission.admits(arrival("light", 1, 2_000), estimate, 0)).isFalse();
+        assertThat(admission.admits(arrival("heavy", 10, 2_000), estimate, 0)).isTrue();
+        assertThat(admission.admits(arrival("urgent", 10, 90), estimate, 0)).isFalse();
     }
 
     private static QueuedAttempt queued(String attemptId, int weight, int deadlineMillis) {
-        return new QueuedAttempt(request(attemptId, weight, deadlineMillis), SERVICE);
+        return new QueuedAttempt(arrival(attemptId, weight, deadlineMillis), SERVICE);
     }
 
-    private static RequestArrived request(String attemptId, int weight, int deadlineMillis) {
-        return new RequestArrived(
+    private static AttemptArrived arrival(String attemptId, int weight, int deadlineMillis) {
+        return new AttemptArrived(
                 attemptId,
                 attemptId,
                 true,
