--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
@@ -19,8 +19,8 @@
             new PriorityQueue<>(Comparator.comparingLong(BenchRequest::deadlineNanos));
     private final double nanosPerRequest;
 
-    /** A lease and the request for which it is granted. */
-    record Grant(Lease lease, BenchRequest request) {}
+    /** A lease and the request to which it is assigned. */
+    record LeaseAssignment(Lease lease, BenchRequest request) {}
 
     LeaseBroker(List<ServerSpec> servers, ServiceProfile service) {
         for (int slot = 0; slot < service.slots(); slot++) {
@@ -39,16 +39,16 @@
         return true;
     }
 
-    /** Returns the leases that can be granted now. */
-    List<Grant> grants(long nowNanos) {
-        List<Grant> grants = new ArrayList<>();
+    /** Assigns the free leases to waiting requests and discards those past their deadline. */
+    List<LeaseAssignment> assign(long nowNanos) {
+        List<LeaseAssignment> assignments = new ArrayList<>();
         while (!free.isEmpty() && !waiting.isEmpty()) {
             BenchRequest request = waiting.remove();
             if (request.deadlineNanos() > nowNanos) {
-                grants.add(new Grant(free.removeFirst(), request));
+                assignments.add(new LeaseAssignment(free.removeFirst(), request));
             }
         }
-        return grants;
+        return assignments;
     }
 
     /** Makes a returned lease available again. */
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseSimulation.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseSimulation.java
@@ -95,14 +95,15 @@
 
     private void requestLease(LeaseBroker broker, BenchRequest request) {
         if (broker.request(request, time.now())) {
-            grant(broker);
+            assignLeases(broker);
         } else {
             sendMessage(() -> refuse(request));
         }
     }
 
-    private void grant(LeaseBroker broker) {
-        broker.grants(time.now()).forEach(grant -> sendMessage(() -> dispatch(grant.lease(), grant.request())));
+    private void assignLeases(LeaseBroker broker) {
+        broker.assign(time.now())
+                .forEach(assignment -> sendMessage(() -> dispatch(assignment.lease(), assignment.request())));
     }
 
     private void refuse(BenchRequest request) {
@@ -142,7 +143,7 @@
     private void returnLease(Lease lease) {
         sendMessage(() -> {
             lease.broker().release(lease);
-            grant(lease.broker());
+            assignLeases(lease.broker());
         });
     }
 
