--- a/coppershelf/src/main/java/io/coppershelf/ticket/ConfigurationStore.java
+++ b/coppershelf/src/main/java/io/coppershelf/ticket/ConfigurationStore.java
@@ -11,8 +11,8 @@
 import java.util.TreeSet;
 
 /**
- * Merges tickets into the configuration in force. Tickets may arrive in any order, repeatedly, and with gaps. A pure
- * state machine: not thread-safe, but its snapshots are immutable.
+ * Merges tickets into the configuration in force. Tickets may arrive in any order, repeatedly, and with gaps. Free of
+ * I/O and clocks; not thread-safe, but its snapshots are immutable.
  *
  * <pre>{@code
  * ConfigurationStore store = new ConfigurationStore();
