--- a/bench/src/main/java/io/coppershelf/bench/decisions/BenchRequest.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/BenchRequest.java
@@ -34,16 +34,16 @@
     }
 
     /** Returns the id of a new try. */
-    String nextTryId() {
+    String nextAttemptId() {
         return number + "/" + tries++;
     }
 
-    int tries() {
+    int attempts() {
         return tries;
     }
 
     /** Counts a run on a server. */
-    void ran() {
+    void recordRun() {
         runs++;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/EntryVms.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/EntryVms.java
@@ -55,7 +55,7 @@
         KindProfile kind = world.spec().service().drawKind(arrivals);
         BenchRequest request = new BenchRequest(requests.size(), vm, kind, now);
         requests.add(request);
-        world.ledger().arrived(request);
+        world.recorder().recordArrival(request);
         entries.get(vm).budget = Math.min(LARGEST_BUDGET, entries.get(vm).budget + BUDGET_SHARE);
         world.time().at(request.deadlineNanos(), () -> lose(request));
         send(request, -1);
@@ -64,9 +64,9 @@
 
     private void send(BenchRequest request, int avoided) {
         int host = choose(request.vm(), avoided);
-        Attempt attempt = new Attempt(request.nextTryId(), request);
+        Attempt attempt = new Attempt(request.nextAttemptId(), request);
         GroupHost target = world.hosts().get(host);
-        world.time().after(world.hop(), () -> target.accept(attempt));
+        world.time().after(world.networkDelayNanos(), () -> target.accept(attempt));
     }
 
     private int choose(int vm, int avoided) {
@@ -99,9 +99,9 @@
     }
 
     /** Takes in what a host tells of a try. */
-    void replied(int host, Attempt attempt, Reply reply, GroupStatus status) {
+    void handleReply(int host, Attempt attempt, Reply reply, GroupStatus status) {
         BenchRequest request = attempt.request();
-        entries.get(request.vm()).heard(host, reply, status, world.time().now());
+        entries.get(request.vm()).recordReply(host, reply, status, world.time().now());
         if (request.isAnswered()) {
             return;
         }
@@ -114,11 +114,11 @@
         }
         request.markAnswered();
         if (reply.status().isPresent()) {
-            world.ledger().answered(request, reply.isSuccess(), now);
+            world.recorder().recordAnswer(request, reply.isSuccess(), now);
         } else if (reply.isNotRun() && request.runs() == 0) {
-            world.ledger().refused(request, now);
+            world.recorder().recordRefusal(request, now);
         } else {
-            world.ledger().lost(request);
+            world.recorder().recordLoss(request);
         }
     }
 
@@ -130,13 +130,13 @@
 
     private void lose(BenchRequest request) {
         if (request.markAnswered()) {
-            world.ledger().lost(request);
+            world.recorder().recordLoss(request);
         }
     }
 
     /** Ends the books. */
-    void close() {
-        requests.forEach(world.ledger()::closed);
+    void finish() {
+        requests.forEach(world.recorder()::recordFinalState);
     }
 
     /** What one entry VM knows. */
@@ -150,7 +150,7 @@
             this.heardNanos = new long[hosts];
         }
 
-        void heard(int host, Reply reply, GroupStatus status, long nowNanos) {
+        void recordReply(int host, Reply reply, GroupStatus status, long nowNanos) {
             long busy = status.freeSlots() > 0 ? 0 : WAIT_WITHOUT_FREE_SLOT;
             waitNanos[host] = reply.isNotRun()
                     ? Math.max(WAIT_AFTER_REFUSAL, status.expectedWaitNanos())
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FakeServer.java
@@ -39,7 +39,7 @@
 
     /** Takes a try. The reply is never called if the server stalls for good. */
     void start(Attempt attempt, Consumer<Answer> reply) {
-        ServerState state = plan.stated(name, time.now());
+        ServerState state = plan.reportedState(name, time.now());
         if (state == ServerState.DRAINING) {
             refuse(state, reply);
             return;
@@ -56,7 +56,7 @@
     }
 
     private void run(Attempt attempt, Consumer<Answer> reply) {
-        attempt.request().ran();
+        attempt.request().recordRun();
         Run run = new Run(reply);
         running.put(attempt.tryId(), run);
         long work = attempt.request().kind().drawNanos(random);
@@ -70,7 +70,9 @@
         }
         boolean error =
                 random.nextDouble() < plan.errorShare(name, attempt.request().kind(), time.now());
-        run.reply().accept(new Answer(Optional.of(error ? 500 : 200), Optional.empty(), plan.stated(name, time.now())));
+        run.reply()
+                .accept(new Answer(
+                        Optional.of(error ? 500 : 200), Optional.empty(), plan.reportedState(name, time.now())));
     }
 
     private static void refuse(ServerState state, Consumer<Answer> reply) {
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Fault.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Fault.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns whether a server is sick in it. */
-    boolean isSickness() {
+    boolean makesServerUnhealthy() {
         return switch (this) {
             case STALL, SLOW_3, SLOW_5, SLOW_20, ERRORS, FLAPPING, CUT, TWO_STALLED -> true;
             case NONE, REPORTS, PAUSE, COLD, DRAIN, SHEDDING -> false;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
@@ -112,12 +112,12 @@
     }
 
     /** Returns the spans in which servers are sick. */
-    List<SickSpan> sickSpans() {
+    List<SickSpan> unhealthySpans() {
         return sickSpans;
     }
 
     /** Returns whether the server was sick at the time or shortly before. */
-    boolean isSickLately(String server, long nanos, long lookBackNanos) {
+    boolean wasRecentlyUnhealthy(String server, long nanos, long lookBackNanos) {
         return sickSpans.stream()
                 .anyMatch(span -> span.server().equals(server)
                         && nanos >= span.fromNanos()
@@ -146,7 +146,7 @@
     }
 
     /** Returns what the server says of itself. */
-    ServerState stated(String server, long nanos) {
+    ServerState reportedState(String server, long nanos) {
         if (nanos < ONSET || !targets.contains(server)) {
             return ServerState.READY;
         }
@@ -164,7 +164,7 @@
     }
 
     /** Returns whether load reports mislead at the given time. */
-    boolean misleads(long nanos) {
+    boolean hasMisleadingReports(long nanos) {
         return fault == Fault.REPORTS && nanos >= ONSET;
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FloorCounter.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FloorCounter.java
@@ -19,7 +19,7 @@
     }
 
     /** Grants or renews a right if there is one left. */
-    boolean ask(String server, long nowNanos) {
+    boolean request(String server, long nowNanos) {
         untilByServer.values().removeIf(until -> until <= nowNanos);
         Set<String> taken = new HashSet<>(untilByServer.keySet());
         taken.addAll(out);
--- a/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
@@ -122,7 +122,7 @@
     private void dispatch(Dispatch dispatch) {
         Attempt attempt = open.get(dispatch.tryId());
         long now = world.time().now();
-        world.ledger().dispatched(dispatch.server(), condition(dispatch.server()), now);
+        world.recorder().recordDispatch(dispatch.server(), condition(dispatch.server()), now);
         serverByTry.put(attempt.tryId(), dispatch.server());
         FakeServer server = world.server(dispatch.server());
         world.time().after(TO_SERVER, () -> server.start(attempt, answer -> answered(dispatch, answer)));
@@ -170,7 +170,7 @@
         }
         answer.error()
                 .filter(error -> error == ErrorKind.SERVER_REFUSED)
-                .ifPresent(error -> world.ledger().shed());
+                .ifPresent(error -> world.recorder().recordShed());
         deliver(new TryEnded(tryId, answer.status(), answer.error(), answer.state()));
         reply(tryId, replyTo(answer));
     }
@@ -191,7 +191,7 @@
 
     private void askFloor(String server) {
         long now = world.time().now();
-        boolean granted = world.floor().ask(server, now);
+        boolean granted = world.floor().request(server, now);
         GroupEvent verdict =
                 granted ? new EjectionGranted(server, now + FloorCounter.RIGHT) : new EjectionRefused(server);
         world.time().after(TO_GRANTER, () -> deliver(verdict));
@@ -201,12 +201,12 @@
         boolean cut = world.plan().isCut(server, world.time().now());
         Optional<ServerState> state = cut
                 ? Optional.empty()
-                : Optional.of(world.plan().stated(server, world.time().now()));
+                : Optional.of(world.plan().reportedState(server, world.time().now()));
         world.time().after(cut ? PROBE_LIMIT : PROBE, () -> deliver(new ProbeEnded(server, state)));
     }
 
     /** Takes in the usual times of another host. */
-    void hear(BaselineHeard heard) {
+    void receiveServiceTimes(BaselineHeard heard) {
         deliver(heard);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
@@ -51,7 +51,7 @@
     }
 
     /** Takes a lease back. */
-    void giveBack(Lease lease) {
+    void release(Lease lease) {
         free.addLast(lease);
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseWorld.java
@@ -53,8 +53,8 @@
         LeaseWorld world = new LeaseWorld(spec);
         world.time.after(world.nextGap(), world::arrive);
         world.time.runUntil(spec.endNanos() + DRAIN_OUT);
-        world.requests.forEach(world.ledger::closed);
-        return world.ledger.close();
+        world.requests.forEach(world.ledger::recordFinalState);
+        return world.ledger.finish();
     }
 
     private long nextGap() {
@@ -70,7 +70,7 @@
         KindProfile kind = spec.service().drawKind(arrivals);
         BenchRequest request = new BenchRequest(requests.size(), vm, kind, time.now());
         requests.add(request);
-        ledger.arrived(request);
+        ledger.recordArrival(request);
         time.at(request.deadlineNanos(), () -> lose(request));
         Deque<Lease> idle = idleByVm.get(vm);
         if (idle.isEmpty()) {
@@ -82,7 +82,7 @@
     }
 
     private void hop(Runnable task) {
-        ledger.message(time.now());
+        ledger.recordMessage(time.now());
         time.after(spec.service().customer().oneWayNanos(), task);
     }
 
@@ -106,7 +106,7 @@
 
     private void refuse(BenchRequest request) {
         if (request.markAnswered()) {
-            ledger.refused(request, time.now());
+            ledger.recordRefusal(request, time.now());
         }
     }
 
@@ -115,14 +115,14 @@
             giveBack(lease);
             return;
         }
-        Attempt attempt = new Attempt(request.nextTryId(), request);
+        Attempt attempt = new Attempt(request.nextAttemptId(), request);
         servers.get(lease.server()).start(attempt, answer -> answered(lease, request, answer));
     }
 
     private void answered(Lease lease, BenchRequest request, Answer answer) {
         if (request.markAnswered()) {
             boolean success = answer.status().filter(status -> status == 200).isPresent();
-            ledger.answered(request, success, time.now());
+            ledger.recordAnswer(request, success, time.now());
         }
         if (lease.broker().isContended()) {
             giveBack(lease);
@@ -140,14 +140,14 @@
 
     private void giveBack(Lease lease) {
         hop(() -> {
-            lease.broker().giveBack(lease);
+            lease.broker().release(lease);
             grant(lease.broker());
         });
     }
 
     private void lose(BenchRequest request) {
         if (request.markAnswered()) {
-            ledger.lost(request);
+            ledger.recordLoss(request);
         }
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Ledger.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Ledger.java
@@ -27,7 +27,7 @@
     Ledger(RunSpec spec, FaultPlan plan) {
         this.spec = spec;
         this.plan = plan;
-        plan.sickSpans().forEach(span -> lastDispatch.put(span, span.fromNanos()));
+        plan.unhealthySpans().forEach(span -> lastDispatch.put(span, span.fromNanos()));
         noteCapacity();
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** Takes in a new request. */
-    void arrived(BenchRequest request) {
+    void recordArrival(BenchRequest request) {
         if (isMeasured(request.arrivedNanos())) {
             result.requests++;
             result.weightOffered += request.kind().weight();
@@ -45,11 +45,11 @@
     }
 
     /** Takes in a dispatch to a server in the given condition. */
-    void dispatched(String server, ServerCondition condition, long nowNanos) {
+    void recordDispatch(String server, ServerCondition condition, long nowNanos) {
         if (condition == ServerCondition.PROBATION) {
             return;
         }
-        for (SickSpan span : plan.sickSpans()) {
+        for (SickSpan span : plan.unhealthySpans()) {
             if (span.server().equals(server) && nowNanos >= span.fromNanos() && nowNanos < span.untilNanos()) {
                 lastDispatch.put(span, nowNanos);
             }
@@ -57,7 +57,7 @@
     }
 
     /** Takes in a whole answer to the caller. */
-    void answered(BenchRequest request, boolean success, long nowNanos) {
+    void recordAnswer(BenchRequest request, boolean success, long nowNanos) {
         if (request.runs() == 0) {
             result.wrongOutcome++;
         }
@@ -79,7 +79,7 @@
     }
 
     /** Takes in that the caller was told that the request was not run. */
-    void refused(BenchRequest request, long nowNanos) {
+    void recordRefusal(BenchRequest request, long nowNanos) {
         if (request.runs() > 0) {
             result.wrongOutcome++;
         }
@@ -90,34 +90,34 @@
     }
 
     /** Takes in that the caller was told that the outcome is unknown. */
-    void lost(BenchRequest request) {
+    void recordLoss(BenchRequest request) {
         if (isMeasured(request.arrivedNanos())) {
             result.lost++;
         }
     }
 
     /** Takes in that a server refused a try because its slots were taken. */
-    void shed() {
+    void recordShed() {
         result.shed++;
     }
 
     /** Takes in a message between two VMs. */
-    void message(long nowNanos) {
+    void recordMessage(long nowNanos) {
         result.messages += isMeasured(nowNanos) ? 1 : 0;
     }
 
     /** Takes in the whole life of a request, after the run. */
-    void closed(BenchRequest request) {
+    void recordFinalState(BenchRequest request) {
         if (!request.kind().idempotent() && request.runs() > 1) {
             result.executedTwice++;
         }
     }
 
     /** Takes in a change of condition. */
-    void changed(String server, ServerCondition to, long nowNanos) {
+    void recordConditionChange(String server, ServerCondition to, long nowNanos) {
         boolean out = to == ServerCondition.EJECTED || to == ServerCondition.PROBATION;
         if (to == ServerCondition.EJECTED && !ejected.contains(server)) {
-            boolean sick = plan.fault() != Fault.CUT && plan.isSickLately(server, nowNanos, LOOK_BACK);
+            boolean sick = plan.fault() != Fault.CUT && plan.wasRecentlyUnhealthy(server, nowNanos, LOOK_BACK);
             result.falseEjections += sick ? 0 : 1;
         }
         update(ejected, server, out);
@@ -144,7 +144,7 @@
     }
 
     /** Returns the figures of the run. */
-    RunResult close() {
+    RunResult finish() {
         lastDispatch.forEach((span, nanos) -> result.detectionSeconds.add(Units.seconds(nanos - span.fromNanos())));
         result.serverHours = spec.service().servers() * Units.seconds(spec.endNanos()) / 3600;
         result.workPossible = possibleWork();
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Policy.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Policy.java
@@ -57,8 +57,8 @@
             case PROBES -> BaselineGroup.exact(new ProbesOnly());
             case FIVE_ERRORS -> BaselineGroup.exact(new ConsecutiveErrors());
             case OUTLIERS -> BaselineGroup.exact(new SuccessRateOutliers());
-            case ROUND_ROBIN -> BaselineGroup.alone(new RoundRobin(), new NoDetector());
-            case TWO_CHOICES -> BaselineGroup.alone(new TwoChoices(reports, random), new NoDetector());
+            case ROUND_ROBIN -> BaselineGroup.uncoordinated(new RoundRobin(), new NoDetector());
+            case TWO_CHOICES -> BaselineGroup.uncoordinated(new TwoChoices(reports, random), new NoDetector());
         };
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/ServiceWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/ServiceWorld.java
@@ -54,8 +54,8 @@
         world.reportLoads();
         world.entries.start();
         world.time.runUntil(spec.endNanos() + DRAIN_OUT);
-        world.entries.close();
-        return world.ledger.close();
+        world.entries.finish();
+        return world.ledger.finish();
     }
 
     private void startHosts() {
@@ -93,7 +93,7 @@
     }
 
     private int reportedLoad(String name, FakeServer server) {
-        if (!plan.misleads(time.now())) {
+        if (!plan.hasMisleadingReports(time.now())) {
             return server.load();
         }
         boolean first = name.equals(servers.keySet().iterator().next());
@@ -105,29 +105,29 @@
         for (int index = 0; index < hosts.size(); index++) {
             GroupHost host = hosts.get(index);
             if (index != sender) {
-                time.after(spec.service().customer().oneWayNanos(), () -> host.hear(heard));
+                time.after(spec.service().customer().oneWayNanos(), () -> host.receiveServiceTimes(heard));
             }
         }
     }
 
     /** Takes in a change of condition. */
     void conditionChanged(ConditionChanged changed) {
-        ledger.changed(changed.server(), changed.to(), time.now());
+        ledger.recordConditionChange(changed.server(), changed.to(), time.now());
         floor.reportOut(
                 changed.server(), changed.to() == ServerCondition.DRAINING || changed.to() == ServerCondition.COLD);
     }
 
     /** Brings a reply to the entry VM. */
     void reply(int host, Attempt attempt, Reply reply, GroupStatus status) {
-        time.after(hop(), () -> entries.replied(host, attempt, reply, status));
+        time.after(networkDelayNanos(), () -> entries.handleReply(host, attempt, reply, status));
     }
 
     /** Returns the time between an entry VM and a host. */
-    long hop() {
+    long networkDelayNanos() {
         if (spec.policy().layout() == Layout.EACH_VM_ALONE) {
             return 0;
         }
-        ledger.message(time.now());
+        ledger.recordMessage(time.now());
         return spec.service().customer().oneWayNanos();
     }
 
@@ -143,7 +143,7 @@
         return plan;
     }
 
-    Ledger ledger() {
+    Ledger recorder() {
         return ledger;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns a group of one VM among others, which counts no slots. */
-    public static BaselineGroup alone(Picker picker, Detector detector) {
+    public static BaselineGroup uncoordinated(Picker picker, Detector detector) {
         return new BaselineGroup(picker, detector, false);
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/demo/Demonstration.java
+++ b/bench/src/main/java/io/coppershelf/bench/demo/Demonstration.java
@@ -105,13 +105,13 @@
         backends.switchOff(server.name());
         TruthReport truth = truth(results);
         print(truth);
-        return truth.isTrue();
+        return truth.isConsistent();
     }
 
     private boolean report(List<CallResult> results) throws IOException, InterruptedException {
         TruthReport truth = truth(results);
         print(truth);
-        return truth.isTrue() && truth.inTimeShare() == 1.0;
+        return truth.isConsistent() && truth.inTimeShare() == 1.0;
     }
 
     private TruthReport truth(List<CallResult> results) throws IOException, InterruptedException {
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
@@ -85,16 +85,16 @@
                 row.label(),
                 vmFault,
                 load,
-                row.isSick() ? arrivals.workEnded() : Optional.empty(),
-                row.isSick(),
-                row.isSick() ? ejections.suspectedAfter(target.name(), onsetMillis) : Optional.empty(),
+                row.makesServerUnhealthy() ? arrivals.workEnded() : Optional.empty(),
+                row.makesServerUnhealthy(),
+                row.makesServerUnhealthy() ? ejections.suspectedAfter(target.name(), onsetMillis) : Optional.empty(),
                 truths,
                 ejections,
                 target.name(),
                 WARM_UP.plusSeconds(seconds),
                 objects);
         result.print();
-        return result.isKept();
+        return result.areGuaranteesKept();
     }
 
     private FleetRow.Truths truth(
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetFault.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetFault.java
@@ -47,7 +47,7 @@
     }
 
     /** Returns whether a server with the fault is to be ejected. */
-    boolean isSick() {
+    boolean makesServerUnhealthy() {
         return sick;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
@@ -65,8 +65,8 @@
     record Truths(TruthReport whole, TruthReport afterFault, TruthReport ofService, RefusalSummary refusals) {}
 
     /** Returns whether every promise was kept in the run. */
-    boolean isKept() {
-        return truths.whole().isTrue() && servicesBelowFloor().isEmpty();
+    boolean areGuaranteesKept() {
+        return truths.whole().isConsistent() && servicesBelowFloor().isEmpty();
     }
 
     void print() {
--- a/bench/src/main/java/io/coppershelf/bench/fleet/RefusalSummary.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/RefusalSummary.java
@@ -22,7 +22,7 @@
         Histogram refusals = new Histogram(HIGHEST_NANOS, 3);
         for (CallResult result : results) {
             result.error().ifPresent(error -> byError.merge(error, 1, Integer::sum));
-            if (result.isToldNotRun()) {
+            if (result.isReportedNotRun()) {
                 refusals.recordValue(Math.min(result.latencyNanos(), HIGHEST_NANOS));
             }
         }
--- a/bench/src/main/java/io/coppershelf/bench/load/CallResult.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/CallResult.java
@@ -30,7 +30,7 @@
     }
 
     /** Returns whether the caller was told that the work was not run. */
-    public boolean isToldNotRun() {
+    public boolean isReportedNotRun() {
         return outcome.equals(Optional.of("not-run"));
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/load/TruthReport.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/TruthReport.java
@@ -37,7 +37,7 @@
                         .filter(result -> !result.route().idempotent() && begun(result, executions) > 1)
                         .count(),
                 results.stream()
-                        .filter(result -> result.isToldNotRun() && begun(result, executions) > 0)
+                        .filter(result -> result.isReportedNotRun() && begun(result, executions) > 0)
                         .count(),
                 results.stream()
                         .filter(result -> result.status() == 200 && begun(result, executions) == 0)
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether no promise was broken. */
-    public boolean isTrue() {
+    public boolean isConsistent() {
         return executedTwice == 0 && notRunYetRun == 0 && answeredYetNotRun == 0 && foreignOrPartial == 0;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EjectionWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EjectionWorld.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns the most servers that were ejected at once. */
-    int mostOut() {
+    int maxEjected() {
         return mostOut;
     }
 
@@ -72,22 +72,22 @@
     private void start(String id) {
         FloorNode node = new FloorNode(view(id, ids), configuration.snapshot(), network.nowNanos());
         nodes.put(id, node);
-        node.stand(SERVICE);
+        node.becomeCandidateIfBestRanked(SERVICE);
         tick(id);
     }
 
     private FleetSnapshot view(String id, List<String> reachable) {
         List<Vm> vms = ids.stream()
-                .map(name -> new Vm(name, 1 + network.life(name), "thess-a", "127.0.0.1", 1, 2, false))
+                .map(name -> new Vm(name, 1 + network.incarnation(name), "thess-a", "127.0.0.1", 1, 2, false))
                 .toList();
         return new FleetSnapshot(vms.get(ids.indexOf(id)), vms, Set.copyOf(reachable));
     }
 
     private void tick(String id) {
         FloorNode node = nodes.get(id);
-        node.stand(SERVICE);
+        node.becomeCandidateIfBestRanked(SERVICE);
         perform(id, node.onTick(network.nowNanos()));
-        perform(id, node.ask(SERVICE, "s-" + ids.indexOf(id), network.nowNanos()));
+        perform(id, node.request(SERVICE, "s-" + ids.indexOf(id), network.nowNanos()));
         network.after(id, TICK, () -> tick(id));
     }
 
@@ -111,7 +111,7 @@
         Set<String> servers = new HashSet<>();
         for (String id : ids) {
             String server = "s-" + ids.indexOf(id);
-            if (network.isUp(id) && nodes.get(id).isLive(SERVICE, server, network.nowNanos())) {
+            if (network.isUp(id) && nodes.get(id).isGrantLive(SERVICE, server, network.nowNanos())) {
                 servers.add(server);
             }
         }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EntryAttempt.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EntryAttempt.java
@@ -60,11 +60,11 @@
     }
 
     /** Returns what the caller was told. */
-    Optional<RequestResult> told() {
+    Optional<RequestResult> result() {
         return told;
     }
 
-    long toldNanos() {
+    long resultNanos() {
         return toldNanos;
     }
 
@@ -74,24 +74,24 @@
 
     void start() {
         startNanos = network.nowNanos();
-        world.reached(Step.RECEIVED);
+        world.onStep(Step.RECEIVED);
         ClaimRequest request = new ClaimRequest(RequestWorld.KEY, DIGEST, id, DEADLINE.toMillis());
         for (String holder : RequestWorld.HOLDERS) {
             network.send(vm, holder, () -> {
                 HolderAnswer answer = world.holder(holder).claim(request, network.nowNanos());
-                network.send(holder, vm, () -> onClaim(round.onAnswer(holder, answer)));
+                network.send(holder, vm, () -> onClaim(round.onReply(holder, answer)));
             });
-            network.after(vm, Duration.ofMillis(500), () -> onClaim(round.onNoAnswer(holder)));
+            network.after(vm, Duration.ofMillis(500), () -> onClaim(round.onNoReply(holder)));
         }
     }
 
     @Override
-    public Optional<GroupName> choose(Set<GroupName> excluded) {
+    public Optional<GroupName> selectGroup(Set<GroupName> excluded) {
         return excluded.contains(GROUP) ? Optional.empty() : Optional.of(GROUP);
     }
 
     @Override
-    public int candidates(GroupName group) {
+    public int ownerCount(GroupName group) {
         return RequestWorld.OWNERS.size();
     }
 
@@ -105,7 +105,7 @@
             return;
         }
         if (verdict.get() instanceof Verdict.Claimed) {
-            world.reached(Step.CLAIMED);
+            world.onStep(Step.CLAIMED);
             network.after(vm, DEADLINE.minus(GIVE_UP_BEFORE), () -> handle(new RequestEvent.GaveUp()));
             network.after(vm, DEADLINE, () -> handle(new RequestEvent.DeadlinePassed()));
             handle(new RequestEvent.Started());
@@ -142,7 +142,7 @@
             network.after(vm, Duration.ofMillis(1), () -> end(number, TryResult.failed(ErrorKind.OWNER_UNREACHABLE)));
             return;
         }
-        int life = network.life(owner);
+        int life = network.incarnation(owner);
         network.send(
                 vm,
                 owner,
@@ -150,12 +150,12 @@
                         .receive(
                                 tryId(number), DEADLINE, result -> network.send(owner, vm, () -> end(number, result))));
         network.after(vm, LOSS_NOTICED_AFTER, () -> {
-            if (!network.isUp(owner) || network.life(owner) != life) {
+            if (!network.isUp(owner) || network.incarnation(owner) != life) {
                 end(number, TryResult.failed(ErrorKind.OWNER_LOST));
             }
         });
         network.after(vm, REPLY_WAIT, () -> end(number, TryResult.failed(ErrorKind.OWNER_LOST)));
-        world.reached(Step.FORWARDED);
+        world.onStep(Step.FORWARDED);
     }
 
     private String tryId(int number) {
--- a/bench/src/main/java/io/coppershelf/bench/matrix/FakeServer.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/FakeServer.java
@@ -32,7 +32,7 @@
         return name;
     }
 
-    void strike(Fault now) {
+    void injectFault(Fault now) {
         fault = Optional.of(now);
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/matrix/RequestWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/RequestWorld.java
@@ -49,7 +49,7 @@
             }
             strike(fault, victim);
         };
-        Consumer<Step> reached = this::reached;
+        Consumer<Step> reached = this::onStep;
         List.of("server-1", "server-2").forEach(name -> servers.put(name, new FakeServer(name, network, reached)));
         OWNERS.forEach(id -> owners.put(id, new OwnerVm(id, network, servers, reached)));
         HOLDERS.forEach(id -> holders.put(id, startHolder(id)));
@@ -96,14 +96,14 @@
         network.runUntil(SETTLED.plusSeconds(80));
     }
 
-    void reached(Step now) {
+    void onStep(Step now) {
         if (now == step && !struck) {
             struck = true;
             strike.run();
         }
     }
 
-    boolean isStruck() {
+    boolean isFaultInjected() {
         return struck;
     }
 
@@ -122,7 +122,7 @@
             case CUT_OUT -> others(victim).forEach(other -> network.cut(victim, other));
             case SPLIT -> split();
             case DRAIN_DURING_WORK -> owners.values().forEach(OwnerVm::drainFirstServer);
-            default -> servers.values().forEach(server -> server.strike(fault));
+            default -> servers.values().forEach(server -> server.injectFault(fault));
         }
     }
 
@@ -164,7 +164,7 @@
         List<Vm> vms = HOLDERS.stream()
                 .map(name -> new Vm(
                         name,
-                        1_000L + (name.equals(restarted) ? network.life(name) : 0),
+                        1_000L + (name.equals(restarted) ? network.incarnation(name) : 0),
                         "a",
                         "127.0.0.1",
                         1,
@@ -182,7 +182,7 @@
                     ClaimPage page = holders.get(peer).page("", key -> true, network.nowNanos());
                     network.send(peer, id, () -> {
                         holders.get(id).merge(page.attempts(), network.nowNanos());
-                        holders.get(id).onPulled(peer, page.knowing(), page.lost());
+                        holders.get(id).onPullComplete(peer, page.knowing(), page.lost());
                     });
                 }));
     }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/VirtualNetwork.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/VirtualNetwork.java
@@ -52,7 +52,7 @@
         return !killed.contains(host);
     }
 
-    int life(String host) {
+    int incarnation(String host) {
         return lives.getOrDefault(host, 0);
     }
 
@@ -77,11 +77,11 @@
     }
 
     private void add(String host, long atNanos, Runnable task) {
-        events.add(new Event(atNanos, order++, host, life(host), task));
+        events.add(new Event(atNanos, order++, host, incarnation(host), task));
     }
 
     private void run(Event event) {
-        boolean isGone = killed.contains(event.host()) || event.life() != life(event.host());
+        boolean isGone = killed.contains(event.host()) || event.life() != incarnation(event.host());
         if (isGone) {
             return;
         }
--- a/bench/src/main/java/io/coppershelf/bench/slopes/FloorTraffic.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/FloorTraffic.java
@@ -43,7 +43,7 @@
         SampleObjects.tickets(services, SampleObjects::service).forEach(store::apply);
         FloorTraffic traffic = new FloorTraffic(store.snapshot());
         for (FloorNode node : traffic.nodes) {
-            IntStream.range(0, services).forEach(i -> node.stand("service-" + i));
+            IntStream.range(0, services).forEach(i -> node.becomeCandidateIfBestRanked("service-" + i));
         }
         long counted = 0;
         for (long now = TICK_NANOS; now <= END_NANOS; now += TICK_NANOS) {
--- a/bench/src/test/java/io/coppershelf/bench/decisions/FakesTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/decisions/FakesTest.java
@@ -22,13 +22,13 @@
     @Test
     void grantsNoMoreEjectionsThanTheFloorLeaves() {
         FloorCounter floor = new FloorCounter(4, 2);
-        assertThat(floor.ask("a", 0)).isTrue();
+        assertThat(floor.request("a", 0)).isTrue();
         floor.reportOut("b", true);
-        assertThat(floor.ask("c", 0)).isFalse();
-        assertThat(floor.ask("a", 0)).isTrue();
+        assertThat(floor.request("c", 0)).isFalse();
+        assertThat(floor.request("a", 0)).isTrue();
         floor.reportOut("b", false);
-        assertThat(floor.ask("c", 0)).isTrue();
-        assertThat(floor.ask("d", FloorCounter.RIGHT)).isTrue();
+        assertThat(floor.request("c", 0)).isTrue();
+        assertThat(floor.request("d", FloorCounter.RIGHT)).isTrue();
     }
 
     @Test
--- a/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
@@ -97,7 +97,7 @@
         RequestWorld world = new RequestWorld(step, fault, victim);
         world.run();
         String cell = fault + " at " + step + " of " + victim;
-        assertWithMessage("%s struck", cell).that(world.isStruck()).isTrue();
+        assertWithMessage("%s struck", cell).that(world.isFaultInjected()).isTrue();
         List<String> executed = world.executed();
         assertWithMessage("%s, tries run", cell).that(executed.size()).isAtMost(1);
         world.attempts().forEach(attempt -> checkAttempt(cell, attempt, executed));
@@ -106,14 +106,14 @@
                     .that(world.receivedByDraining().size())
                     .isAtMost(1);
             assertWithMessage("%s, work under way", cell)
-                    .that(world.attempts().get(0).told().flatMap(RequestResult::answer))
+                    .that(world.attempts().get(0).result().flatMap(RequestResult::answer))
                     .isPresent();
         }
         checkEntry(cell, fault, victim, world);
     }
 
     private static void checkAttempt(String cell, EntryAttempt attempt, List<String> executed) {
-        Optional<RequestResult> told = attempt.told();
+        Optional<RequestResult> told = attempt.result();
         Outcome outcome =
                 told.flatMap(RequestResult::error).map(ErrorKind::outcome).orElse(Outcome.UNKNOWN);
         boolean ran = executed.stream().anyMatch(id -> id.startsWith(attempt.id() + "/"));
@@ -136,10 +136,10 @@
                 continue;
             }
             assertWithMessage("%s, %s told", cell, attempt.id())
-                    .that(attempt.told().isPresent())
+                    .that(attempt.result().isPresent())
                     .isTrue();
             assertWithMessage("%s, time of %s", cell, attempt.id())
-                    .that(attempt.toldNanos() - attempt.startNanos())
+                    .that(attempt.resultNanos() - attempt.startNanos())
                     .isAtMost(EntryAttempt.DEADLINE.plus(ANSWER_MARGIN).toNanos());
         }
     }
@@ -165,10 +165,10 @@
         EjectionWorld world = new EjectionWorld(fault);
         world.run();
         assertWithMessage("%s, servers out at once", fault)
-                .that(world.mostOut())
+                .that(world.maxEjected())
                 .isAtMost(EjectionWorld.SERVERS - EjectionWorld.FLOOR);
         assertWithMessage("%s, rights granted again", fault)
-                .that(world.mostOut())
+                .that(world.maxEjected())
                 .isAtLeast(1);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/OwnerLookup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/OwnerLookup.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the same VMs, those that this one can reach first. */
-    public List<Vm> reachableFirst(GroupName group) {
+    public List<Vm> ownersReachableFirst(GroupName group) {
         FleetView view = fleet.current();
         return owners(group).stream()
                 .sorted(Comparator.comparing(vm -> !view.isReachable(vm.id())))
--- a/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
@@ -113,9 +113,9 @@
         if (event instanceof ProbeEnded probe) {
             health.probeEnded(probe.server(), probe.state(), nowNanos);
         } else if (event instanceof BaselineHeard heard) {
-            health.baselineHeard(heard.sender(), heard.usualNanos(), nowNanos);
+            health.serviceTimesReceived(heard.sender(), heard.usualNanos(), nowNanos);
         } else if (event instanceof ReachabilityHeard heard) {
-            health.reachabilityHeard(heard.server(), heard.reachable(), nowNanos);
+            health.reachabilityReported(heard.server(), heard.reachable(), nowNanos);
         } else if (event instanceof EjectionGranted granted) {
             health.ejectionGranted(granted.server(), granted.untilNanos(), nowNanos);
         } else if (event instanceof EjectionRevoked revoked) {
@@ -132,23 +132,24 @@
     private void arrive(RequestArrived request, long nowNanos) {
         WaitEstimate estimate = estimate(nowNanos);
         boolean admitted = request.hedge()
-                ? queue.isEmpty() && choice.best(servers.values(), nowNanos).isPresent()
+                ? queue.isEmpty()
+                        && choice.selectUnsuspected(servers.values(), nowNanos).isPresent()
                 : admission.admits(request, estimate, nowNanos);
-        retryAfter.decided(admitted);
+        retryAfter.recordDecision(admitted);
         if (admitted) {
             queue.add(new WaitingTry(request, serviceTimes.meanNanos(request.route())));
             return;
         }
         ErrorKind error = estimate.slots() == 0 ? ErrorKind.NO_SERVER : ErrorKind.OVERLOADED;
-        actions.add(new Refuse(request.tryId(), error, retryAfter.after(expectedWaitNanos(estimate))));
+        actions.add(new Refuse(request.tryId(), error, retryAfter.retryAfter(expectedWaitNanos(estimate))));
     }
 
     private void refuseHopeless(long nowNanos) {
         WaitEstimate estimate = choice.largestEstimate(servers.values(), serviceTimes, nowNanos);
-        for (WaitingTry hopeless : HopelessTries.find(queue, estimate, nowNanos)) {
-            queue.remove(hopeless.tryId());
-            Duration delay = retryAfter.after(expectedWaitNanos(estimate));
-            actions.add(new Refuse(hopeless.tryId(), ErrorKind.OVERLOADED, delay));
+        for (WaitingTry hopeless : HopelessTries.selectAttempts(queue, estimate, nowNanos)) {
+            queue.remove(hopeless.attemptId());
+            Duration delay = retryAfter.retryAfter(expectedWaitNanos(estimate));
+            actions.add(new Refuse(hopeless.attemptId(), ErrorKind.OVERLOADED, delay));
         }
     }
 
@@ -159,17 +160,17 @@
     }
 
     private void end(TryEnded ended, long nowNanos) {
-        Optional<RunningTry> running = slots.free(ended.tryId());
+        Optional<RunningTry> running = slots.release(ended.tryId());
         if (running.isEmpty()) {
             return;
         }
         RunningTry done = running.get();
-        TryEnd end = TryEnds.of(ended);
+        TryEnd end = TryEnds.classify(ended);
         if (end == TryEnd.ANSWERED) {
-            backoff.ran(done.server());
+            backoff.recordSuccess(done.server());
             serviceTimes.record(done.request().route(), health.observedNanos() - done.dispatchedNanos());
         } else if (end == TryEnd.REFUSED) {
-            backoff.refused(done.server(), nowNanos);
+            backoff.recordRefusal(done.server(), nowNanos);
         }
         health.ended(ended.tryId(), done.server(), end, ended.serverState(), nowNanos);
     }
@@ -177,17 +178,17 @@
     private void dispatchWaiting(long nowNanos) {
         dispatchTrial(nowNanos);
         while (!queue.isEmpty()) {
-            WaitingTry first = queue.tries().get(0);
+            WaitingTry first = queue.attempts().get(0);
             if (isTooLate(first, nowNanos)) {
-                queue.remove(first.tryId());
-                actions.add(new Refuse(first.tryId(), ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
+                queue.remove(first.attemptId());
+                actions.add(new Refuse(first.attemptId(), ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
                 continue;
             }
             Optional<String> server = serverFor(first, nowNanos);
             if (server.isEmpty()) {
                 return;
             }
-            queue.remove(first.tryId());
+            queue.remove(first.attemptId());
             dispatch(first, server.get(), nowNanos);
         }
     }
@@ -197,11 +198,11 @@
     }
 
     private Optional<String> serverFor(WaitingTry waiting, long nowNanos) {
-        Optional<String> best = choice.best(servers.values(), nowNanos);
+        Optional<String> best = choice.selectUnsuspected(servers.values(), nowNanos);
         if (best.isPresent() || waiting.request().hedge() || canWait(waiting, nowNanos)) {
             return best;
         }
-        return choice.suspected(servers.values(), nowNanos);
+        return choice.selectSuspected(servers.values(), nowNanos);
     }
 
     private boolean canWait(WaitingTry waiting, long nowNanos) {
@@ -215,9 +216,9 @@
         if (queue.isEmpty()) {
             return;
         }
-        health.trialDue(nowNanos)
+        health.findServerDueForTrial(nowNanos)
                 .filter(server -> slots.inFlight(server) < servers.get(server).slots())
-                .ifPresent(server -> queue.takeFirst(waiting -> isFitForTrial(waiting, nowNanos))
+                .ifPresent(server -> queue.removeFirst(waiting -> isFitForTrial(waiting, nowNanos))
                         .ifPresent(waiting -> dispatch(waiting, server, nowNanos)));
     }
 
@@ -229,7 +230,7 @@
 
     private void dispatch(WaitingTry waiting, String server, long nowNanos) {
         RequestArrived request = waiting.request();
-        slots.take(new RunningTry(request, server, health.observedNanos()));
+        slots.occupy(new RunningTry(request, server, health.observedNanos()));
         health.dispatched(request.tryId(), server, request.route(), request.idempotent(), nowNanos);
         actions.add(new Dispatch(request.tryId(), server));
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
@@ -21,7 +21,7 @@
 
     /** Returns whether the request can be answered in time, and so may wait. */
     public boolean admits(RequestArrived request, WaitEstimate estimate, long nowNanos) {
-        weightShares.arrived(request.weight(), request.deadlineNanos() - nowNanos, nowNanos);
+        weightShares.recordArrival(request.weight(), request.deadlineNanos() - nowNanos, nowNanos);
         if (estimate.slots() == 0) {
             return false;
         }
@@ -31,7 +31,7 @@
         long backlog = estimate.waitNanos(queue, queue.size());
         return (double) backlog <= weightShares.backlogLimitNanos(request.weight())
                 && fits(request, wait, own, nowNanos)
-                && estimate.leavesRoom(queue, place, own, nowNanos);
+                && estimate.keepsLaterDeadlines(queue, place, own, nowNanos);
     }
 
     private boolean fits(RequestArrived request, long wait, long own, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
@@ -38,7 +38,7 @@
     }
 
     /** Removes and returns the first try that the predicate accepts. */
-    public Optional<WaitingTry> takeFirst(Predicate<WaitingTry> predicate) {
+    public Optional<WaitingTry> removeFirst(Predicate<WaitingTry> predicate) {
         for (int index = 0; index < tries.size(); index++) {
             if (predicate.test(tries.get(index))) {
                 WaitingTry taken = tries.remove(index);
@@ -51,7 +51,7 @@
 
     /** Removes and returns the try of the given id. */
     public Optional<WaitingTry> remove(String tryId) {
-        return takeFirst(waiting -> waiting.tryId().equals(tryId));
+        return removeFirst(waiting -> waiting.attemptId().equals(tryId));
     }
 
     /** Returns the expected service times of the tries before the given place, summed. */
@@ -67,7 +67,7 @@
     }
 
     /** Returns the tries in order, as a view. */
-    public List<WaitingTry> tries() {
+    public List<WaitingTry> attempts() {
         return Collections.unmodifiableList(tries);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/GroupActions.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/GroupActions.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void askEjection(String server, String reason) {
+    public void requestEjection(String server, String reason) {
         add(new GroupAction.AskEjection(server, reason));
     }
 
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void askReachability(String server) {
+    public void queryReachability(String server) {
         add(new GroupAction.AskReachability(server));
     }
 
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void shareUsualTimes(Map<String, Long> usualNanos) {
+    public void shareServiceTimes(Map<String, Long> usualNanos) {
         add(new GroupAction.ShareBaseline(usualNanos));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/HopelessTries.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/HopelessTries.java
@@ -19,14 +19,14 @@
     private HopelessTries() {}
 
     /** Returns the tries to be given up. */
-    public static List<WaitingTry> find(DeadlineQueue queue, WaitEstimate estimate, long nowNanos) {
+    public static List<WaitingTry> selectAttempts(DeadlineQueue queue, WaitEstimate estimate, long nowNanos) {
         List<WaitingTry> hopeless = new ArrayList<>();
         if (estimate.slots() == 0) {
             return hopeless;
         }
         PriorityQueue<WaitingTry> kept = new PriorityQueue<>(Comparator.comparingDouble(HopelessTries::value));
         long work = estimate.residualNanos();
-        for (WaitingTry waiting : queue.tries()) {
+        for (WaitingTry waiting : queue.attempts()) {
             long end = work / estimate.slots() + waiting.expectedNanos();
             kept.add(waiting);
             work += waiting.expectedNanos();
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/RetryAfterEstimate.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/RetryAfterEstimate.java
@@ -23,12 +23,12 @@
     }
 
     /** Takes in whether a request was admitted. */
-    public void decided(boolean admitted) {
+    public void recordDecision(boolean admitted) {
         admittedShare += SAMPLE_WEIGHT * ((admitted ? 1.0 : 0.0) - admittedShare);
     }
 
     /** Returns the time after which to come back, with the given expected wait now. */
-    public Duration after(long expectedWaitNanos) {
+    public Duration retryAfter(long expectedWaitNanos) {
         double pressure = 1.0 / Math.max(LEAST_ADMITTED_SHARE, admittedShare);
         double spread = 1 + SPREAD * (2 * random.nextDouble() - 1);
         double nanos = Math.max((double) LEAST.toNanos(), (double) expectedWaitNanos * pressure) * spread;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/RunningTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/RunningTry.java
@@ -11,7 +11,7 @@
  */
 public record RunningTry(RequestArrived request, String server, long dispatchedNanos) {
     /** Returns the id of the try. */
-    public String tryId() {
+    public String attemptId() {
         return request.tryId();
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ServerChoice.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ServerChoice.java
@@ -24,12 +24,12 @@
     }
 
     /** Returns the least loaded server that is not suspected. */
-    public Optional<String> best(Collection<ServerSpec> servers, long nowNanos) {
+    public Optional<String> selectUnsuspected(Collection<ServerSpec> servers, long nowNanos) {
         return leastLoaded(servers, server -> !isSuspected(server), nowNanos);
     }
 
     /** Returns the least loaded server that is suspected. */
-    public Optional<String> suspected(Collection<ServerSpec> servers, long nowNanos) {
+    public Optional<String> selectSuspected(Collection<ServerSpec> servers, long nowNanos) {
         return leastLoaded(servers, this::isSuspected, nowNanos);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ShedBackoff.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ShedBackoff.java
@@ -12,7 +12,7 @@
     private final Map<String, Pause> pauses = new HashMap<>();
 
     /** Takes in that the server refused a try. */
-    public void refused(String server, long nowNanos) {
+    public void recordRefusal(String server, long nowNanos) {
         Pause last = pauses.get(server);
         if (last != null && nowNanos - last.untilNanos < 0) {
             return;
@@ -23,7 +23,7 @@
     }
 
     /** Takes in that the server ran a try: the next pause is short again. */
-    public void ran(String server) {
+    public void recordSuccess(String server) {
         pauses.computeIfPresent(server, (name, last) -> new Pause(Duration.ZERO, last.untilNanos));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
@@ -17,16 +17,16 @@
      *
      * @throws IllegalStateException if the try holds a slot already
      */
-    public void take(RunningTry running) {
-        if (byTry.putIfAbsent(running.tryId(), running) != null) {
-            throw new IllegalStateException("try \"" + running.tryId() + "\" holds a slot already");
+    public void occupy(RunningTry running) {
+        if (byTry.putIfAbsent(running.attemptId(), running) != null) {
+            throw new IllegalStateException("try \"" + running.attemptId() + "\" holds a slot already");
         }
         byServer.computeIfAbsent(running.server(), server -> new LinkedHashMap<>())
-                .put(running.tryId(), running);
+                .put(running.attemptId(), running);
     }
 
     /** Frees the slot of the try; returns the try, empty if it holds none. */
-    public Optional<RunningTry> free(String tryId) {
+    public Optional<RunningTry> release(String tryId) {
         Optional<RunningTry> running = Optional.ofNullable(byTry.remove(tryId));
         running.ifPresent(ended -> byServer.get(ended.server()).remove(tryId));
         return running;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/TryEnds.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/TryEnds.java
@@ -12,7 +12,7 @@
     private TryEnds() {}
 
     /** Returns what the end of the try says about its server. */
-    public static TryEnd of(TryEnded ended) {
+    public static TryEnd classify(TryEnded ended) {
         if (ended.error().isPresent()) {
             return ofError(ended.error().get());
         }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitEstimate.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitEstimate.java
@@ -22,12 +22,12 @@
     }
 
     /** Returns whether a try of the given service time can go to the place without making a later one miss its time. */
-    public boolean leavesRoom(DeadlineQueue queue, int place, long addedNanos, long nowNanos) {
+    public boolean keepsLaterDeadlines(DeadlineQueue queue, int place, long addedNanos, long nowNanos) {
         if (slots == 0 || place < free) {
             return true;
         }
         long ahead = residualNanos + addedNanos + queue.workNanos(place);
-        List<WaitingTry> tries = queue.tries();
+        List<WaitingTry> tries = queue.attempts();
         for (WaitingTry later : tries.subList(place, tries.size())) {
             if ((double) (ahead / slots + AdmissionControl.SERVICE_MARGIN * later.expectedNanos())
                     > ROOM_SHARE * (double) later.slackNanos(nowNanos)) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitingTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitingTry.java
@@ -10,7 +10,7 @@
  */
 public record WaitingTry(RequestArrived request, long expectedNanos) {
     /** Returns the id of the try. */
-    public String tryId() {
+    public String attemptId() {
         return request.tryId();
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WeightShares.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WeightShares.java
@@ -16,7 +16,7 @@
     private final RecentMaximum slackNanos = new RecentMaximum(Duration.ofSeconds(10));
 
     /** Takes in the weight of a request that arrived, and the time that it has. */
-    public void arrived(int requestWeight, long requestSlackNanos, long nowNanos) {
+    public void recordArrival(int requestWeight, long requestSlackNanos, long nowNanos) {
         weight.record(requestWeight, nowNanos);
         slackNanos.record(requestSlackNanos, nowNanos);
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
@@ -78,9 +78,9 @@
     public void stop(Duration limit) {
         groups.beginStop();
         long end = System.nanoTime() + limit.toNanos();
-        while (groups.underWay() > 0 && System.nanoTime() < end) {
+        while (groups.inFlight() > 0 && System.nanoTime() < end) {
             LockSupport.parkNanos(STOP_POLL_INTERVAL.toNanos());
         }
-        logger.atInfo().log("[admission] Stopped with %s tries under way.", groups.underWay());
+        logger.atInfo().log("[admission] Stopped with %s tries under way.", groups.inFlight());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReplyCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReplyCodec.java
@@ -51,7 +51,7 @@
     public ForwardReply read(MessageUnpacker unpacker) throws IOException {
         String tryId = unpacker.unpackString();
         Optional<Answer> answer = MessageFields.readOptional(unpacker, ForwardReplyCodec::readAnswer);
-        Optional<ErrorKind> error = MessageFields.readOptional(unpacker, WireFields::readKind);
+        Optional<ErrorKind> error = MessageFields.readOptional(unpacker, WireFields::readErrorKind);
         if (answer.isPresent() == error.isPresent()) {
             throw new IOException("expected either an answer or an error kind");
         }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActions.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActions.java
@@ -35,18 +35,18 @@
     @Override
     public void perform(GroupAction action) {
         if (action instanceof GroupAction.AskEjection ask) {
-            rights.ask(name.service(), ask.server(), this);
+            rights.request(name.service(), ask.server(), this);
         } else if (action instanceof GroupAction.ReleaseEjection release) {
             rights.release(name.service(), release.server());
         } else if (action instanceof GroupAction.Probe probe) {
             probe(probe.server());
         } else if (action instanceof GroupAction.AskReachability ask) {
-            peers.askReachability(
+            peers.queryReachability(
                     name,
                     ask.server(),
                     reachable -> group.on(new GroupEvent.ReachabilityHeard(ask.server(), reachable)));
         } else if (action instanceof GroupAction.ShareBaseline share) {
-            peers.share(name, share.usualNanos());
+            peers.shareServiceTimes(name, share.usualNanos());
         } else if (action instanceof GroupAction.ConditionChanged change) {
             tell(change);
         }
@@ -61,7 +61,7 @@
 
     private void tell(GroupAction.ConditionChanged change) {
         if (isOut(change.from()) != isOut(change.to())) {
-            rights.reportOut(name.service(), change.server(), isOut(change.to()));
+            rights.reportOutOfService(name.service(), change.server(), isOut(change.to()));
         }
         logger.atInfo().log("[admission] Server %s is %s: %s.", change.server(), change.to(), change.reason());
         String text = change.from() + " to " + change.to() + ": " + change.reason();
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns the number of tries that have not ended. */
-    int underWay() {
+    int inFlight() {
         return tries.size();
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthPeers.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthPeers.java
@@ -62,7 +62,7 @@
     }
 
     /** Asks VMs of other data centres whether they can reach the server; the listener hears those that reply. */
-    void askReachability(GroupName group, String server, Consumer<Boolean> listener) {
+    void queryReachability(GroupName group, String server, Consumer<Boolean> listener) {
         FleetView view = fleet.current();
         view.ranked("witness/" + server, "", WITNESS_CANDIDATES).stream()
                 .filter(vm -> !vm.id().equals(view.self().id()))
@@ -83,7 +83,7 @@
     }
 
     /** Tells the owners of the other groups of the service the usual service times. */
-    void share(GroupName group, Map<String, Long> usualNanos) {
+    void shareServiceTimes(GroupName group, Map<String, Long> usualNanos) {
         FleetView view = fleet.current();
         List<Vm> owners = configuration.current().servers(group.service()).stream()
                 .map(ServerSpec::dataCentre)
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/LocalGroups.java
@@ -100,7 +100,7 @@
         Optional<ServiceSpec> service =
                 configuration.current().service(runtime.name().service());
         boolean isWanted = service.isPresent() && owners.isServedHere(runtime.name());
-        if (!isWanted && runtime.underWay() == 0) {
+        if (!isWanted && runtime.inFlight() == 0) {
             groups.remove(runtime.name());
             return;
         }
@@ -132,8 +132,8 @@
     }
 
     /** Returns the number of tries that have not ended. */
-    int underWay() {
-        return groups.values().stream().mapToInt(GroupRuntime::underWay).sum();
+    int inFlight() {
+        return groups.values().stream().mapToInt(GroupRuntime::inFlight).sum();
     }
 
     /** A try that ended at once. */
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/WireFields.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/WireFields.java
@@ -23,7 +23,7 @@
         return MessageFields.readList(unpacker, source -> new Header(source.unpackString(), source.unpackString()));
     }
 
-    static ErrorKind readKind(MessageUnpacker unpacker) throws IOException {
+    static ErrorKind readErrorKind(MessageUnpacker unpacker) throws IOException {
         String name = unpacker.unpackString();
         try {
             return ErrorKind.valueOf(name);
--- a/coppershelf/src/main/java/io/coppershelf/backend/HeaderRules.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/HeaderRules.java
@@ -34,7 +34,7 @@
     private HeaderRules() {}
 
     /** Returns whether a header, by its name in lower case, concerns one hop alone. */
-    public static boolean isPerHop(String lowerCaseName) {
+    public static boolean isHopByHop(String lowerCaseName) {
         return PER_HOP.contains(lowerCaseName);
     }
 
@@ -48,7 +48,7 @@
         List<Header> result = new ArrayList<>();
         headers.forEach((name, values) -> {
             String lower = name.toLowerCase(Locale.ROOT);
-            if (isPerHop(lower) || isOwned(lower) || named.contains(lower)) {
+            if (isHopByHop(lower) || isOwned(lower) || named.contains(lower)) {
                 return;
             }
             values.forEach(value -> result.add(new Header(name, value)));
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/AnswerHandler.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/AnswerHandler.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns whether the head of the answer arrived. */
-    boolean isHeadSeen() {
+    boolean isHeadReceived() {
         return body.isPresent();
     }
 
@@ -34,7 +34,7 @@
     @Override
     public BodySubscriber<byte[]> apply(ResponseInfo info) {
         BoundedBody created = fault(info)
-                .map(fault -> BoundedBody.refusing(fault))
+                .map(fault -> BoundedBody.rejecting(fault))
                 .orElseGet(() -> BoundedBody.upTo(request.largestAnswer()));
         body = Optional.of(created);
         return created;
@@ -42,7 +42,7 @@
 
     private Optional<CoppershelfException> fault(ResponseInfo info) {
         HttpHeaders headers = info.headers();
-        if (!ServerProtocol.isOf(headers, request.tryId())) {
+        if (!ServerProtocol.belongsTo(headers, request.tryId())) {
             return Optional.of(foreign(headers));
         }
         if (!hasStatedLength(info)) {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/BoundedBody.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/BoundedBody.java
@@ -30,7 +30,7 @@
     }
 
     /** Returns a subscriber that reads nothing and fails. */
-    static BoundedBody refusing(CoppershelfException refusal) {
+    static BoundedBody rejecting(CoppershelfException refusal) {
         return new BoundedBody(Optional.of(refusal), 0);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/ConnectionLimits.java
@@ -14,7 +14,7 @@
     private final ConcurrentMap<Address, Semaphore> forControl = new ConcurrentHashMap<>();
 
     /** Returns the connections to the server that tries may use. */
-    Semaphore forTries(ServerSpec server) {
+    Semaphore forAttempts(ServerSpec server) {
         return forTries.computeIfAbsent(Address.of(server), key -> new Semaphore(server.slots()));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpTry.java
@@ -45,7 +45,7 @@
 
     /** Sends the try, unless it is too late or the server has no connection left for it. */
     void start() {
-        Semaphore connection = connections.forTries(request.server());
+        Semaphore connection = connections.forAttempts(request.server());
         if (!connection.tryAcquire()) {
             end(ErrorKind.OVERLOADED);
             return;
@@ -61,7 +61,7 @@
 
     private void sendNow(long remainingMillis, Semaphore connection) {
         try {
-            HttpRequest httpRequest = ServerProtocol.tryRequest(request, remainingMillis);
+            HttpRequest httpRequest = ServerProtocol.attemptRequest(request, remainingMillis);
             http = clients.current().sendAsync(httpRequest, handler);
         } catch (IllegalArgumentException e) {
             connection.release();
@@ -91,7 +91,7 @@
         if (givenUpAs.isPresent()) {
             return BackendResult.failed(givenUpAs.get(), ServerState.UNSTATED);
         }
-        ErrorKind kind = FailureKinds.of(failure, handler.isHeadSeen());
+        ErrorKind kind = FailureKinds.of(failure, handler.isHeadReceived());
         if (kind == ErrorKind.ANSWER_FOREIGN) {
             clients.replace();
         }
@@ -122,8 +122,9 @@
     }
 
     private void hearCancelAnswer(HttpResponse<?> answer, Duration limit) {
-        boolean isTrusted =
-                answer != null && answer.statusCode() == 200 && ServerProtocol.isOf(answer.headers(), request.tryId());
+        boolean isTrusted = answer != null
+                && answer.statusCode() == 200
+                && ServerProtocol.belongsTo(answer.headers(), request.tryId());
         if (isTrusted && ServerProtocol.isNotStarted(answer.headers())) {
             giveUp(ErrorKind.DEADLINE_BEFORE_RUN);
             return;
@@ -144,7 +145,7 @@
      */
     private void giveUp(ErrorKind kind) {
         givenUpAs = Optional.of(kind);
-        if (handler.isHeadSeen()) {
+        if (handler.isHeadReceived()) {
             handler.abandon();
         } else {
             http.cancel(true);
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/ServerProtocol.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/ServerProtocol.java
@@ -31,7 +31,7 @@
      *
      * @throws IllegalArgumentException if the target or a header can't be sent
      */
-    static HttpRequest tryRequest(BackendRequest request, long remainingMillis) {
+    static HttpRequest attemptRequest(BackendRequest request, long remainingMillis) {
         HttpRequest.Builder builder = HttpRequest.newBuilder(uri(request.server(), request.target()));
         request.headers().forEach(header -> builder.header(header.name(), header.value()));
         boolean isEmpty = request.body().length == 0;
@@ -59,7 +59,7 @@
                 .build();
     }
 
-    static boolean isOf(HttpHeaders answer, String tryId) {
+    static boolean belongsTo(HttpHeaders answer, String tryId) {
         return answer.allValues(TRY_ID).size() == 1
                 && answer.firstValue(TRY_ID).orElseThrow().equals(tryId);
     }
--- a/coppershelf/src/main/java/io/coppershelf/belief/BeliefTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/belief/BeliefTable.java
@@ -15,13 +15,13 @@
      * @return whether it is news for the fleet: bad, or good of a server about which little was known
      */
     public boolean observe(String serverKey, Observation observation, long nowNanos) {
-        ServerBelief before = belief(serverKey, nowNanos);
+        ServerBelief before = estimate(serverKey, nowNanos);
         beliefs.put(serverKey, before.after(observation, nowNanos));
-        return observation.isBad() || before.isUncertain(nowNanos);
+        return observation.isNegative() || before.isUncertain(nowNanos);
     }
 
     /** Returns the belief in a server. */
-    public ServerBelief belief(String serverKey, long nowNanos) {
+    public ServerBelief estimate(String serverKey, long nowNanos) {
         ServerBelief known = beliefs.get(serverKey);
         return known == null ? ServerBelief.initial(nowNanos) : known;
     }
--- a/coppershelf/src/main/java/io/coppershelf/belief/Observation.java
+++ b/coppershelf/src/main/java/io/coppershelf/belief/Observation.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns whether the observation speaks for a sick server. */
-    public boolean isBad() {
+    public boolean isNegative() {
         return this != SUCCESS;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/belief/ServerBelief.java
+++ b/coppershelf/src/main/java/io/coppershelf/belief/ServerBelief.java
@@ -39,35 +39,35 @@
 
     /** Returns the belief after an observation. */
     public ServerBelief after(Observation observation, long nowNanos) {
-        double before = sicknessAt(nowNanos);
+        double before = unhealthyProbabilityAt(nowNanos);
         double odds = before / (1 - before) * observation.likelihoodRatio();
         double after = Math.min(HIGHEST, Math.max(LOWEST, odds / (1 + odds)));
-        return new ServerBelief(after, nowNanos, observation.isBad() ? nowNanos : failedNanos);
+        return new ServerBelief(after, nowNanos, observation.isNegative() ? nowNanos : failedNanos);
     }
 
     /** Returns the probability at a time; without observations it returns to the base. */
-    public double sicknessAt(long nowNanos) {
+    public double unhealthyProbabilityAt(long nowNanos) {
         double seconds = secondsSince(atNanos, nowNanos);
         return BASE_SICKNESS + (sickness - BASE_SICKNESS) * Math.exp(-RELAXATION_PER_SECOND * seconds);
     }
 
     /** Returns whether a good observation is worth telling others at a time. */
     boolean isUncertain(long nowNanos) {
-        return sicknessAt(nowNanos) >= UNCERTAIN;
+        return unhealthyProbabilityAt(nowNanos) >= UNCERTAIN;
     }
 
     /** Returns whether the server is suspected at a time. */
-    public boolean isSuspect(long nowNanos) {
-        return sicknessAt(nowNanos) >= SUSPECT;
+    public boolean isSuspected(long nowNanos) {
+        return unhealthyProbabilityAt(nowNanos) >= SUSPECT;
     }
 
     /**
      * Returns whether a request may find out how the server is: it is no more likely sick than one of which nothing is
      * known, or its last failure was so long ago that it may have recovered.
      */
-    public boolean isWorthATry(long nowNanos) {
+    public boolean allowsTrialRequest(long nowNanos) {
         boolean isOldFailure = failedNanos != Long.MIN_VALUE && secondsSince(failedNanos, nowNanos) >= RETRY_SECONDS;
-        return isOldFailure || sicknessAt(nowNanos) <= BASE_SICKNESS + TOLERANCE;
+        return isOldFailure || unhealthyProbabilityAt(nowNanos) <= BASE_SICKNESS + TOLERANCE;
     }
 
     private static double secondsSince(long fromNanos, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/catalog/CatalogReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/CatalogReader.java
@@ -18,10 +18,10 @@
     /** Hears of the result of one reading. */
     interface Listener {
         /** The reading succeeded. */
-        void read(CatalogChange change);
+        void readSucceeded(CatalogChange change);
 
         /** The reading failed. */
-        void failed(Failure failure, String reason);
+        void readFailed(Failure failure, String reason);
     }
 
     /** Reads configuration and servers completely. */
@@ -39,5 +39,5 @@
      *
      * @param revision the revision that is known to be published; an older one counts as {@link Failure#TOO_OLD}
      */
-    void readConfigurationCheaply(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure);
+    void readConfigurationAllowingStale(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure);
 }
--- a/coppershelf/src/main/java/io/coppershelf/catalog/RemovalGrace.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/RemovalGrace.java
@@ -31,7 +31,7 @@
      * @param after the registered servers now
      * @param isAfterOutage whether the platform was away of late
      */
-    public void changed(ServerList before, ServerList after, boolean isAfterOutage, long nowNanos) {
+    public void update(ServerList before, ServerList after, boolean isAfterOutage, long nowNanos) {
         after.all().forEach(server -> kept.remove(server.id()));
         Map<String, List<BackendServer>> vanished = new HashMap<>();
         for (BackendServer server : before.all()) {
@@ -56,7 +56,7 @@
     }
 
     /** Returns the registered servers together with those that are kept. */
-    public ServerList inUse(ServerList registered) {
+    public ServerList withRetained(ServerList registered) {
         if (kept.isEmpty()) {
             return registered;
         }
--- a/coppershelf/src/main/java/io/coppershelf/claim/ClaimPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/ClaimPart.java
@@ -55,7 +55,7 @@
         requester.registerHandlers();
         transfer.registerHandlers();
         fleet.onChange(() -> transfer.onFleet(control));
-        control.every(TICK, transfer::pullMissing);
+        control.every(TICK, transfer::pullFromMissingPeers);
         control.every(ClaimLimits.SETTLING_TIME, () -> holder.prune(time.nanos()));
         registry.find(OperatorDesk.NAME).ifPresent(this::describe);
         logger.atInfo().log("[claim] Started; accepts keys once its peers have told theirs.");
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/Attempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/Attempt.java
@@ -26,7 +26,7 @@
         return overdue ? AttemptStatus.UNKNOWN : status;
     }
 
-    boolean isForgotten(long nowNanos) {
+    boolean isExpired(long nowNanos) {
         return nowNanos - forgetNanos >= 0;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimHistory.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimHistory.java
@@ -59,7 +59,7 @@
      * @param knowing whether the peer itself knew the attempts made before its start
      * @param lost the VMs that the peer saw leave the list without a handover
      */
-    public void onPulled(String peer, boolean knowing, List<String> lost) {
+    public void onPullComplete(String peer, boolean knowing, List<String> lost) {
         answered.add(peer);
         lostBeforeStart.addAll(lost);
         if (knowing) {
@@ -68,7 +68,7 @@
     }
 
     /** Returns the peers that are still to be pulled from. */
-    public List<String> missing(long nowNanos) {
+    public List<String> peersToPull(long nowNanos) {
         if (nowNanos - startNanos >= ClaimLimits.WINDOW.toNanos()
                 || nowNanos - startNanos < ClaimLimits.SETTLING_TIME.toNanos()) {
             return List.of();
@@ -100,14 +100,14 @@
     }
 
     /** Returns the VMs that were lost without a handover within the window. */
-    public List<String> lost(long nowNanos) {
+    public List<String> lostVms(long nowNanos) {
         prune(nowNanos);
         return lostAt.keySet().stream().sorted().toList();
     }
 
     /** Returns the ids of the holders of the key in the given view, best-ranked first. */
     public static List<String> holders(FleetView view, String key) {
-        return view.rankedByList("claim/" + key, ClaimLimits.HOLDERS).stream()
+        return view.rankedPublished("claim/" + key, ClaimLimits.HOLDERS).stream()
                 .map(Vm::id)
                 .toList();
     }
@@ -166,7 +166,7 @@
     }
 
     private static List<Vm> list(FleetView view) {
-        return view.rankedByList("", Integer.MAX_VALUE);
+        return view.rankedPublished("", Integer.MAX_VALUE);
     }
 
     private record FormerView(FleetView view, long replacedNanos) {}
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
@@ -91,7 +91,7 @@
             ClaimRound round, String id, Optional<HolderAnswer> answer, CompletableFuture<Verdict> result) {
         Optional<Verdict> verdict;
         synchronized (round) {
-            verdict = answer.isPresent() ? round.onAnswer(id, answer.get()) : round.onNoAnswer(id);
+            verdict = answer.isPresent() ? round.onReply(id, answer.get()) : round.onNoReply(id);
         }
         verdict.ifPresent(result::complete);
     }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
@@ -28,7 +28,7 @@
     }
 
     /** Takes in what a holder says; returns the verdict if this decides the round. */
-    public Optional<Verdict> onAnswer(String holder, HolderAnswer answer) {
+    public Optional<Verdict> onReply(String holder, HolderAnswer answer) {
         if (verdict.isPresent() || !open.remove(holder)) {
             return Optional.empty();
         }
@@ -41,8 +41,8 @@
     }
 
     /** Takes in that a holder does not answer; returns the verdict if this decides the round. */
-    public Optional<Verdict> onNoAnswer(String holder) {
-        return onAnswer(holder, HolderAnswer.of(HolderAnswer.Verdict.NO_HISTORY));
+    public Optional<Verdict> onNoReply(String holder) {
+        return onReply(holder, HolderAnswer.of(HolderAnswer.Verdict.NO_HISTORY));
     }
 
     /** Returns the verdict, empty while it is open. */
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
@@ -70,8 +70,8 @@
 
     /** Takes in what another holder knows. */
     public void merge(TransferredAttempt transferred, long nowNanos) {
-        Attempt attempt = transferred.attempt(nowNanos);
-        if (!attempt.isForgotten(nowNanos)) {
+        Attempt attempt = transferred.toRecord(nowNanos);
+        if (!attempt.isExpired(nowNanos)) {
             put(transferred.key(), attempt);
         }
     }
@@ -107,7 +107,7 @@
     public void prune(long nowNanos) {
         attempts.values()
                 .forEach(known -> known.values().removeIf(attempt -> {
-                    if (!attempt.isForgotten(nowNanos)) {
+                    if (!attempt.isExpired(nowNanos)) {
                         return false;
                     }
                     uncount(attempt);
@@ -129,7 +129,7 @@
     private static Optional<HolderAnswer> obstacle(
             Collection<Attempt> known, RequestDigest digest, String own, long nowNanos) {
         List<Attempt> others = known.stream()
-                .filter(attempt -> !attempt.id().equals(own) && !attempt.isForgotten(nowNanos))
+                .filter(attempt -> !attempt.id().equals(own) && !attempt.isExpired(nowNanos))
                 .filter(attempt -> attempt.status() != AttemptStatus.NOT_RUN)
                 .toList();
         if (others.stream().anyMatch(attempt -> !attempt.digest().equals(digest))) {
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
@@ -72,8 +72,8 @@
     }
 
     /** Starts pulls from peers that have not answered one yet. */
-    public void pullMissing() {
-        for (String id : holder.missing(time.nanos())) {
+    public void pullFromMissingPeers() {
+        for (String id : holder.peersToPull(time.nanos())) {
             if (pulling.size() >= PULLS_AT_ONCE) {
                 return;
             }
@@ -89,7 +89,7 @@
         String self = view.self().id();
         await(
                 pushAll(key -> {
-                    List<String> next = view.rankedByList("claim/" + key, ClaimLimits.HOLDERS + 1).stream()
+                    List<String> next = view.rankedPublished("claim/" + key, ClaimLimits.HOLDERS + 1).stream()
                             .map(Vm::id)
                             .filter(id -> !id.equals(self))
                             .toList();
@@ -130,12 +130,12 @@
             pull(id, page.last());
             return;
         }
-        holder.onPulled(id, page.knowing(), page.lost());
+        holder.onPullComplete(id, page.knowing(), page.lost());
         pulling.remove(id);
     }
 
     private static List<Vm> list(FleetView view) {
-        return view.rankedByList("", Integer.MAX_VALUE);
+        return view.rankedPublished("", Integer.MAX_VALUE);
     }
 
     private void push(FleetView former, FleetView view) {
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
@@ -55,7 +55,7 @@
     public synchronized ClaimPage page(String after, Predicate<String> wanted, long nowNanos) {
         ClaimTable.Page page = table.page(after, wanted, nowNanos);
         return new ClaimPage(
-                page.attempts(), page.last(), page.complete(), history.isComplete(nowNanos), history.lost(nowNanos));
+                page.attempts(), page.last(), page.complete(), history.isComplete(nowNanos), history.lostVms(nowNanos));
     }
 
     /** Takes over a view of the fleet. */
@@ -64,13 +64,13 @@
     }
 
     /** Takes in that a peer has answered the whole pull. */
-    public synchronized void onPulled(String peer, boolean knowing, List<String> lost) {
-        history.onPulled(peer, knowing, lost);
+    public synchronized void onPullComplete(String peer, boolean knowing, List<String> lost) {
+        history.onPullComplete(peer, knowing, lost);
     }
 
     /** Returns the peers that are still to be pulled from. */
-    public synchronized List<String> missing(long nowNanos) {
-        return history.missing(nowNanos);
+    public synchronized List<String> peersToPull(long nowNanos) {
+        return history.peersToPull(nowNanos);
     }
 
     /** Returns whether this VM knows the attempts that were made before it started. */
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/TransferredAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/TransferredAttempt.java
@@ -33,7 +33,7 @@
                 attempt.forgetNanos() - nowNanos);
     }
 
-    Attempt attempt(long nowNanos) {
+    Attempt toRecord(long nowNanos) {
         return new Attempt(id, digest, status, answer, nowNanos + overdueInNanos, nowNanos + forgetInNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
@@ -14,7 +14,7 @@
      *
      * @throws UsageException if it has another form than {@code HOST:PORT}
      */
-    static DaemonAddress one(String text) {
+    static DaemonAddress parse(String text) {
         try {
             return DaemonAddress.parse(text);
         } catch (IllegalArgumentException e) {
@@ -28,7 +28,7 @@
      * @param isFleet whether all daemons that the given ones know are added
      * @throws UsageException if one of them has another form than {@code HOST:PORT}
      */
-    static List<DaemonAddress> all(String text, boolean isFleet, OperatorClient client) {
+    static List<DaemonAddress> parseAll(String text, boolean isFleet, OperatorClient client) {
         try {
             List<DaemonAddress> given = DaemonAddress.parseList(text);
             return isFleet ? Fleet.expand(given, client) : given;
--- a/coppershelf/src/main/java/io/coppershelf/cli/StatusCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/StatusCommand.java
@@ -42,7 +42,7 @@
 
     @Override
     public int run(Console console) {
-        DaemonAddress daemon = Addresses.one(at);
+        DaemonAddress daemon = Addresses.parse(at);
         Optional<FleetReport> report = FleetReport.collect(daemon, service, new OperatorClient());
         if (report.isEmpty()) {
             console.err().println("coppershelf: daemon " + daemon + " can't be reached");
--- a/coppershelf/src/main/java/io/coppershelf/cli/TicketsCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/TicketsCommand.java
@@ -53,12 +53,12 @@
     @Override
     public int run(Console console) throws InterruptedException {
         OperatorClient client = new OperatorClient();
-        List<DaemonAddress> daemons = Addresses.all(at, isFleet, client);
+        List<DaemonAddress> daemons = Addresses.parseAll(at, isFleet, client);
         long end = System.nanoTime() + Duration.ofSeconds(waitSeconds).toNanos();
-        Map<DaemonAddress, Optional<JsonNode>> answers = client.askAll(daemons, "/ticket");
+        Map<DaemonAddress, Optional<JsonNode>> answers = client.fetchAll(daemons, "/ticket");
         while (exitCode(answers) != ExitCode.OK && System.nanoTime() - end < 0) {
             TimeUnit.NANOSECONDS.sleep(POLL_INTERVAL.toNanos());
-            answers = client.askAll(daemons, "/ticket");
+            answers = client.fetchAll(daemons, "/ticket");
         }
         if (isJson) {
             console.out().println(json(answers));
--- a/coppershelf/src/main/java/io/coppershelf/cli/TimelineCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/TimelineCommand.java
@@ -52,8 +52,8 @@
     @Override
     public int run(Console console) {
         OperatorClient client = new OperatorClient();
-        List<DaemonAddress> daemons = Addresses.all(at, isFleet, client);
-        Map<DaemonAddress, Optional<JsonNode>> answers = client.askAll(daemons, "/timeline");
+        List<DaemonAddress> daemons = Addresses.parseAll(at, isFleet, client);
+        Map<DaemonAddress, Optional<JsonNode>> answers = client.fetchAll(daemons, "/timeline");
         List<StampedEvent> events = new ArrayList<>();
         int unreachable = 0;
         for (Map.Entry<DaemonAddress, Optional<JsonNode>> entry : answers.entrySet()) {
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/Fleet.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/Fleet.java
@@ -15,7 +15,7 @@
     public static List<DaemonAddress> expand(List<DaemonAddress> known, OperatorClient client) {
         Set<DaemonAddress> all = new LinkedHashSet<>(known);
         known.stream()
-                .map(daemon -> client.ask(daemon, "/fleet"))
+                .map(daemon -> client.fetch(daemon, "/fleet"))
                 .flatMap(Optional::stream)
                 .findFirst()
                 .ifPresent(status -> all.addAll(members(status)));
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetReport.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetReport.java
@@ -25,11 +25,11 @@
      */
     public static Optional<FleetReport> collect(DaemonAddress daemon, String service, OperatorClient client) {
         String path = service.isEmpty() ? "/status" : "/status?service=" + service;
-        return client.ask(daemon, path).map(status -> collect(status, path, client));
+        return client.fetch(daemon, path).map(status -> collect(status, path, client));
     }
 
     private static FleetReport collect(JsonNode status, String path, OperatorClient client) {
-        Map<DaemonAddress, Optional<JsonNode>> answers = client.askAll(owners(status), path);
+        Map<DaemonAddress, Optional<JsonNode>> answers = client.fetchAll(owners(status), path);
         Map<String, JsonNode> servers = new HashMap<>();
         answers.values().forEach(answer -> answer.ifPresent(owner -> collectServers(owner, servers)));
         List<ServiceReport> services = new ArrayList<>();
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/OperatorClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/OperatorClient.java
@@ -27,12 +27,12 @@
             .build();
 
     /** Returns the page of one daemon, empty if it gives none. */
-    public Optional<JsonNode> ask(DaemonAddress daemon, String path) {
+    public Optional<JsonNode> fetch(DaemonAddress daemon, String path) {
         return askAsync(daemon, path).join();
     }
 
     /** Asks all daemons at once; the answers stand in the order of the daemons, empty for those that give none. */
-    public Map<DaemonAddress, Optional<JsonNode>> askAll(Collection<DaemonAddress> daemons, String path) {
+    public Map<DaemonAddress, Optional<JsonNode>> fetchAll(Collection<DaemonAddress> daemons, String path) {
         Map<DaemonAddress, CompletableFuture<Optional<JsonNode>>> asked = new LinkedHashMap<>();
         daemons.forEach(daemon -> asked.put(daemon, askAsync(daemon, path)));
         Map<DaemonAddress, Optional<JsonNode>> answers = new LinkedHashMap<>();
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/FleetLoad.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/FleetLoad.java
@@ -32,7 +32,7 @@
      * @param vm anything that stands for the VM
      * @return whether it has more than before, so that it has sent one
      */
-    public boolean heard(Object vm, long serverCode, int inFlight, long nowNanos) {
+    public boolean recordInFlight(Object vm, long serverCode, int inFlight, long nowNanos) {
         Map<Object, Count> counts = countsByServer.computeIfAbsent(serverCode, code -> new HashMap<>());
         Count before = counts.get(vm);
         boolean hasMore = inFlight > (before == null ? 0 : before.inFlight);
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
@@ -89,7 +89,7 @@
     }
 
     /** The time {@link #nextTimer} was reached. */
-    public List<Step> timer(long nowNanos) {
+    public List<Step> timerExpired(long nowNanos) {
         if (isEnded) {
             return List.of();
         }
@@ -111,7 +111,7 @@
         return steps;
     }
 
-    /** Returns when {@link #timer} is to be called next. */
+    /** Returns when {@link #timerExpired} is to be called next. */
     public long nextTimer(long nowNanos) {
         long next = deadlineNanos;
         for (Attempt attempt : attempts) {
@@ -175,7 +175,7 @@
             return Optional.empty();
         }
         Optional<BackendServer> server = choice.choose(usedServers, isLastChance(reached));
-        if (server.isEmpty() || (reached > 0 && !choice.takeRepeat())) {
+        if (server.isEmpty() || (reached > 0 && !choice.tryAcquireRetry())) {
             return Optional.empty();
         }
         usedServers.add(server.get().id());
@@ -184,7 +184,7 @@
     }
 
     private boolean isLastChance(int reached) {
-        return !route.kind().isRepeatable() || reached + 1 >= route.maxServers() || !choice.mayRepeat();
+        return !route.kind().isRepeatable() || reached + 1 >= route.maxServers() || !choice.canRetry();
     }
 
     /** Ends the request with the best answer that is true. */
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/RetryBudget.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/RetryBudget.java
@@ -44,8 +44,8 @@
      * @param fleetSize the number of VMs that take requests
      * @return whether the request may be sent once more
      */
-    public boolean tryRepeat(String service, int fleetSize, long nowNanos) {
-        if (!mayRepeat(service, fleetSize, nowNanos)) {
+    public boolean tryAcquire(String service, int fleetSize, long nowNanos) {
+        if (!canAcquire(service, fleetSize, nowNanos)) {
             return false;
         }
         usage(service, nowNanos).repeats[BUCKETS - 1]++;
@@ -57,7 +57,7 @@
      *
      * @param fleetSize the number of VMs that take requests
      */
-    public boolean mayRepeat(String service, int fleetSize, long nowNanos) {
+    public boolean canAcquire(String service, int fleetSize, long nowNanos) {
         Usage usage = usage(service, nowNanos);
         double limit = USED_SHARE * (ratio * sum(usage.requests) + fixedPerWindow / Math.max(1, fleetSize));
         return sum(usage.repeats) + 1 <= limit;
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChoice.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChoice.java
@@ -14,8 +14,8 @@
     Optional<BackendServer> choose(Set<String> excluded, boolean isLastChance);
 
     /** Returns whether the budget of the service has a repeat left. */
-    boolean mayRepeat();
+    boolean canRetry();
 
     /** Takes one repeat from the budget of the service; returns whether it had any left. */
-    boolean takeRepeat();
+    boolean tryAcquireRetry();
 }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns what is known of the use of a server; nothing is known of a new incarnation. */
-    public ServerUse use(BackendServer server) {
+    public ServerUse stats(BackendServer server) {
         ServerUse known = uses.get(server.id());
         if (known != null && known.isOf(server)) {
             return known;
@@ -90,9 +90,9 @@
         Optional<BackendServer> forFloor = kind == RequestKind.LARGE_ANSWER
                 ? Optional.empty()
                 : best(
-                        spread.unused(
+                        spread.idleServers(
                                 unsuspected(servers, nowNanos),
-                                server -> use(server).code(),
+                                server -> stats(server).code(),
                                 isLastChance,
                                 nowNanos),
                         kind,
@@ -105,15 +105,16 @@
     /** Returns the servers that can be reached, have a free slot and are not suspected. */
     private List<BackendServer> unsuspected(List<BackendServer> servers, long nowNanos) {
         return servers.stream()
-                .filter(server -> !use(server).isPathAvoided(nowNanos))
+                .filter(server -> !stats(server).isInBackoff(nowNanos))
                 .filter(server -> busy(server, nowNanos) < server.slots())
-                .filter(server -> beliefs.belief(use(server).key(), nowNanos).isWorthATry(nowNanos))
+                .filter(server ->
+                        beliefs.estimate(stats(server).key(), nowNanos).allowsTrialRequest(nowNanos))
                 .toList();
     }
 
     private double busy(BackendServer server, long nowNanos) {
-        ServerUse use = use(server);
-        return use.busy(fleetLoad.inFlightOfOthers(use.code()), nowNanos);
+        ServerUse use = stats(server);
+        return use.estimatedLoad(fleetLoad.inFlightOfOthers(use.code()), nowNanos);
     }
 
     private Optional<BackendServer> best(
@@ -135,20 +136,20 @@
 
     /** Returns what the choice of a server goes by at this time. */
     public ChoiceInputs inputs(BackendServer server, long nowNanos) {
-        ServerBelief belief = beliefs.belief(use(server).key(), nowNanos);
+        ServerBelief belief = beliefs.estimate(stats(server).key(), nowNanos);
         return new ChoiceInputs(
-                belief.sicknessAt(nowNanos),
+                belief.unhealthyProbabilityAt(nowNanos),
                 Duration.ofNanos(Math.max(0, nowNanos - belief.atNanos())),
                 busy(server, nowNanos));
     }
 
     /** Returns the expected loss of sending a request to the server, as a share of its worth. */
     double loss(BackendServer server, RequestKind kind, boolean isLastChance, long nowNanos) {
-        double failure =
-                SICK_FAILURE_SHARE * beliefs.belief(use(server).key(), nowNanos).sicknessAt(nowNanos);
+        double failure = SICK_FAILURE_SHARE
+                * beliefs.estimate(stats(server).key(), nowNanos).unhealthyProbabilityAt(nowNanos);
         double loss = failure * (isLastChance ? LAST_FAILURE_LOSS : REPEATABLE_FAILURE_LOSS);
         loss += loadLoss(busy(server, nowNanos), server.slots());
-        loss += use(server).isPathAvoided(nowNanos) ? BROKEN_PATH_LOSS : 0;
+        loss += stats(server).isInBackoff(nowNanos) ? BROKEN_PATH_LOSS : 0;
         if (!server.dataCentre().equals(dataCentre)) {
             loss += kind == RequestKind.LARGE_ANSWER ? REMOTE_LARGE_LOSS : REMOTE_LOSS;
         }
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerUse.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerUse.java
@@ -44,12 +44,12 @@
     }
 
     /** Counts a request that goes to the server. */
-    public void begin() {
+    public void requestStarted() {
         inFlight++;
     }
 
     /** Counts the end of a request. */
-    public void end() {
+    public void requestEnded() {
         inFlight--;
     }
 
@@ -59,27 +59,27 @@
     }
 
     /** Takes the load that the server reported, running and waiting requests together. */
-    public void reported(int busy, long nowNanos) {
+    public void recordReportedLoad(int busy, long nowNanos) {
         reportedBusy = busy;
         reportedAtNanos = nowNanos;
         hasReport = true;
     }
 
     /** Notes that a connection could be established, or that an answer came. */
-    public void pathWorked() {
+    public void recordPathSuccess() {
         failuresInRow = 0;
         avoidUntilNanos = 0;
     }
 
     /** Notes that no connection could be established; the path or the server is down. */
-    public void pathFailed(long nowNanos) {
+    public void recordPathFailure(long nowNanos) {
         long avoidance = SHORTEST_AVOIDANCE_NANOS << Math.min(failuresInRow, 3);
         failuresInRow++;
         avoidUntilNanos = nowNanos + Math.min(avoidance, LONGEST_AVOIDANCE_NANOS);
     }
 
     /** Returns whether the path is avoided after failed connection attempts. */
-    public boolean isPathAvoided(long nowNanos) {
+    public boolean isInBackoff(long nowNanos) {
         return failuresInRow > 0 && nowNanos - avoidUntilNanos < 0;
     }
 
@@ -88,7 +88,7 @@
      *
      * @param inFlightOfOthers the requests of other VMs
      */
-    public double busy(int inFlightOfOthers, long nowNanos) {
+    public double estimatedLoad(int inFlightOfOthers, long nowNanos) {
         int sent = inFlight + inFlightOfOthers;
         if (!hasReport) {
             return sent;
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServiceSpread.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServiceSpread.java
@@ -26,7 +26,7 @@
     private final Map<Long, Long> beganNanos = new ConcurrentHashMap<>();
 
     /** Notes a request that was sent to a server by any VM. */
-    public void began(long serverCode, long nowNanos) {
+    public void recordRequest(long serverCode, long nowNanos) {
         beganNanos.put(serverCode, nowNanos);
     }
 
@@ -42,7 +42,7 @@
      * @param codes returns the number that stands for a server in messages
      * @param isLastChance whether the request can't be sent again if the server fails it
      */
-    public <S> List<S> unused(List<S> servers, ToLongFunction<S> codes, boolean isLastChance, long nowNanos) {
+    public <S> List<S> idleServers(List<S> servers, ToLongFunction<S> codes, boolean isLastChance, long nowNanos) {
         long limitNanos = isLastChance ? UNUSED_FOR_LAST_CHANCE_NANOS : UNUSED_NANOS;
         List<S> unused = servers.stream()
                 .filter(server -> isUnused(codes.applyAsLong(server), limitNanos, nowNanos))
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
@@ -66,8 +66,8 @@
     public void write(Importance importance, String event, Map<String, Object> fields) {
         boolean isRoutine = importance == Importance.ROUTINE;
         boolean isRefused = isRoutine
-                ? queue.remainingCapacity() < RESERVED_LINES || !routineRate.tryTake()
-                : !importantRate.tryTake();
+                ? queue.remainingCapacity() < RESERVED_LINES || !routineRate.tryAcquire()
+                : !importantRate.tryAcquire();
         if (isRefused || !queue.offer(new Line(System.currentTimeMillis(), event, fields))) {
             dropped.incrementAndGet();
         }
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimit.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimit.java
@@ -14,7 +14,7 @@
         this.perSecond = perSecond;
     }
 
-    synchronized boolean tryTake() {
+    synchronized boolean tryAcquire() {
         long now = System.nanoTime();
         if (now - secondStartNanos >= SECOND_NANOS) {
             secondStartNanos = now;
--- a/coppershelf/src/main/java/io/coppershelf/floor/EjectionRights.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/EjectionRights.java
@@ -7,13 +7,13 @@
     ServiceName<EjectionRights> NAME = ServiceName.named("floor", EjectionRights.class);
 
     /** Asks for the right to eject the server, or renews it; the listener hears the verdict. */
-    void ask(String service, String server, Listener listener);
+    void request(String service, String server, Listener listener);
 
     /** Gives the right back. */
     void release(String service, String server);
 
     /** Tells that a server is out of service for another reason than ejection: draining, leaving or cold. */
-    void reportOut(String service, String server, boolean out);
+    void reportOutOfService(String service, String server, boolean out);
 
     /** Hears verdicts, on any thread. */
     interface Listener {
--- a/coppershelf/src/main/java/io/coppershelf/floor/FloorPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/FloorPart.java
@@ -69,9 +69,9 @@
     }
 
     @Override
-    public void ask(String service, String server, Listener listener) {
+    public void request(String service, String server, Listener listener) {
         listeners.put(new RightKey(service, server), listener);
-        control.execute(() -> perform(node.ask(service, server, time.nanos())));
+        control.execute(() -> perform(node.request(service, server, time.nanos())));
     }
 
     @Override
@@ -81,8 +81,8 @@
     }
 
     @Override
-    public void reportOut(String service, String server, boolean out) {
-        control.execute(() -> perform(node.reportOut(service, server, out, time.nanos())));
+    public void reportOutOfService(String service, String server, boolean out) {
+        control.execute(() -> perform(node.reportOutOfService(service, server, out, time.nanos())));
     }
 
     private <T extends FloorMessage> void accept(PeerMessageCodec<T> codec) {
@@ -104,7 +104,8 @@
     }
 
     private void onTick() {
-        scan.next(configurations.current(), fleet.current().vms().size()).forEach(node::stand);
+        scan.nextServices(configurations.current(), fleet.current().vms().size())
+                .forEach(node::becomeCandidateIfBestRanked);
         perform(node.onTick(time.nanos()));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/floor/FloorStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/FloorStatus.java
@@ -10,7 +10,7 @@
     private volatile Snapshot snapshot = new Snapshot(List.of(), 0);
 
     void update(FloorNode node, long nowNanos) {
-        snapshot = new Snapshot(node.granted(nowNanos), node.liveRights(nowNanos));
+        snapshot = new Snapshot(node.granterServices(nowNanos), node.liveGrants(nowNanos));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/floor/StandingScan.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/StandingScan.java
@@ -19,7 +19,7 @@
     }
 
     /** Returns the next services to look at. */
-    List<String> next(Configuration configuration, int vms) {
+    List<String> nextServices(Configuration configuration, int vms) {
         List<ServiceSpec> services = configuration.services();
         if (position >= services.size()) {
             return List.of();
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
@@ -51,7 +51,7 @@
         List<String> known = List.copyOf(voterSets.keySet());
         voterSets.clear();
         for (String service : known) {
-            voter.observe(service, voters(service), nowNanos);
+            voter.updateVoterSet(service, voters(service), nowNanos);
         }
         granters.forEach((service, granter) -> granter.lease().changeVoters(voters(service)));
     }
@@ -69,8 +69,8 @@
     }
 
     /** Asks for the right to eject the server, or renews it. */
-    public List<FloorAction> ask(String service, String server, long nowNanos) {
-        return holder.ask(service, server, voters(service), rules(service), nowNanos);
+    public List<FloorAction> request(String service, String server, long nowNanos) {
+        return holder.request(service, server, voters(service), rules(service), nowNanos);
     }
 
     /** Gives the right back. */
@@ -79,12 +79,12 @@
     }
 
     /** Tells that a server is out of service for another reason than ejection. */
-    public List<FloorAction> reportOut(String service, String server, boolean out, long nowNanos) {
+    public List<FloorAction> reportOutOfService(String service, String server, boolean out, long nowNanos) {
         return outReports.change(service, server, out, voters(service), nowNanos);
     }
 
     /** Makes this VM a candidate for granter of the service, if it is the best-ranked voter that answers. */
-    public void stand(String service) {
+    public void becomeCandidateIfBestRanked(String service) {
         VoterSet voters = voters(service);
         if (voters.isLargeEnough() && isFirstReachable(voters)) {
             granter(service);
@@ -133,7 +133,7 @@
     }
 
     /** Returns whether the right of this VM to eject the server is live. */
-    public boolean isLive(String service, String server, long nowNanos) {
+    public boolean isGrantLive(String service, String server, long nowNanos) {
         return holder.isLive(service, server, nowNanos);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** Returns the services of which this VM is the granter. */
-    public List<String> granted(long nowNanos) {
+    public List<String> granterServices(long nowNanos) {
         return granters.entrySet().stream()
                 .filter(entry -> entry.getValue().lease().isHeld(nowNanos))
                 .map(Map.Entry::getKey)
@@ -154,8 +154,8 @@
     }
 
     /** Returns the number of live rights of this VM. */
-    public long liveRights(long nowNanos) {
-        return holder.liveRights(nowNanos);
+    public long liveGrants(long nowNanos) {
+        return holder.liveGrants(nowNanos);
     }
 
     private List<FloorAction> onVoteRequest(String sender, VoteRequest request, long nowNanos) {
@@ -179,11 +179,11 @@
 
     private List<FloorAction> onRightRequest(String sender, RightRequest request, long nowNanos) {
         String service = request.service();
-        stand(service);
+        becomeCandidateIfBestRanked(service);
         Granter granter = granters.get(service);
         Verdict verdict =
                 granter == null ? Verdict.NOT_GRANTER : granter.decide(sender, request, rules(service), nowNanos);
-        String known = voter.holder(service, nowNanos).orElse("");
+        String known = voter.votedFor(service, nowNanos).orElse("");
         return List.of(new Send(sender, new RightReply(service, request.server(), request.sequence(), verdict, known)));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorTiming.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorTiming.java
@@ -43,7 +43,7 @@
     private FloorTiming() {}
 
     /** Returns how long the giver of a promise of the given duration counts, in nanoseconds. */
-    public static long giverNanos(Duration duration) {
+    public static long issuerNanos(Duration duration) {
         return (long) (duration.toNanos() * (1 + RATE_MARGIN));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantLedger.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GrantLedger.java
@@ -18,7 +18,7 @@
     private final Map<String, Report> reports = new HashMap<>();
 
     /** Takes in what a VM tells of servers that are out of service. */
-    public void report(String sender, List<String> servers, long nowNanos) {
+    public void recordReport(String sender, List<String> servers, long nowNanos) {
         if (servers.isEmpty()) {
             reports.remove(sender);
             return;
@@ -33,13 +33,13 @@
      * @param allowance the number of servers that may be out of service
      * @return whether it fits
      */
-    public boolean grant(String holder, RightRequest request, Set<String> draining, int allowance, long nowNanos) {
+    public boolean tryGrant(String holder, RightRequest request, Set<String> draining, int allowance, long nowNanos) {
         Set<String> out = outOfService(draining, nowNanos);
         out.add(request.server());
         if (out.size() > allowance) {
             return false;
         }
-        long untilNanos = nowNanos + FloorTiming.giverNanos(FloorTiming.GRANT_DURATION);
+        long untilNanos = nowNanos + FloorTiming.issuerNanos(FloorTiming.GRANT_DURATION);
         grants.merge(
                 new Grant(request.server(), holder),
                 new Entry(request.sequence(), untilNanos),
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/Granter.java
@@ -37,7 +37,7 @@
         int allowance = request.ticket() == rules.ticket()
                 ? Math.min(request.allowance(), rules.allowance())
                 : rules.allowance();
-        boolean fits = ledger.grant(holder, request, rules.draining(), allowance, nowNanos);
+        boolean fits = ledger.tryGrant(holder, request, rules.draining(), allowance, nowNanos);
         return fits ? Verdict.GRANTED : Verdict.REFUSED;
     }
 
@@ -48,7 +48,7 @@
 
     /** Takes in a report of servers that are out of service. */
     public void onReport(String sender, OutReport report, long nowNanos) {
-        ledger.report(sender, report.servers(), nowNanos);
+        ledger.recordReport(sender, report.servers(), nowNanos);
     }
 
     /** Returns the rights that the rules no longer allow. */
@@ -60,7 +60,7 @@
     }
 
     /** Returns the number of servers that this VM counts as out of service. */
-    public int outOfService(ServiceRules rules, long nowNanos) {
+    public int outOfServiceCount(ServiceRules rules, long nowNanos) {
         return ledger.outOfService(rules.draining(), nowNanos).size();
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/GranterLease.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/GranterLease.java
@@ -61,7 +61,7 @@
             return;
         }
         if (!isHeld(nowNanos)) {
-            takeoverUntilNanos = nowNanos + FloorTiming.giverNanos(FloorTiming.GRANT_DURATION);
+            takeoverUntilNanos = nowNanos + FloorTiming.issuerNanos(FloorTiming.GRANT_DURATION);
         }
         won = true;
         untilNanos = roundStartNanos + FloorTiming.LEASE_DURATION.toNanos();
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldRight.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/HeldRight.java
@@ -38,7 +38,7 @@
         return untilNanos;
     }
 
-    boolean wasLive() {
+    boolean wasLiveAtRequest() {
         return wasLive;
     }
 
@@ -46,20 +46,20 @@
         return granted && nowNanos - untilNanos < 0;
     }
 
-    boolean isLapsed(long nowNanos) {
+    boolean isExpired(long nowNanos) {
         return granted && nowNanos - untilNanos >= 0;
     }
 
-    boolean isAwaiting() {
+    boolean isAwaitingReply() {
         return awaiting;
     }
 
-    void want(long nowNanos) {
+    void markRequested(long nowNanos) {
         wantedAtNanos = nowNanos;
     }
 
     /** Returns whether the owner of the server has asked within the last grant duration. */
-    boolean isWanted(long nowNanos) {
+    boolean isRequestedRecently(long nowNanos) {
         return nowNanos - wantedAtNanos < FloorTiming.GRANT_DURATION.toNanos();
     }
 
@@ -67,18 +67,18 @@
         return !awaiting && nowNanos - sentAtNanos >= FloorTiming.GRANT_RENEWAL.toNanos();
     }
 
-    boolean isAnswerOverdue(long nowNanos) {
+    boolean isReplyOverdue(long nowNanos) {
         return awaiting && nowNanos - sentAtNanos >= FloorTiming.ANSWER_TIMEOUT.toNanos();
     }
 
     /** Starts to ask the given VMs one after another. */
-    void askInTurn(List<String> candidates) {
+    void setCandidates(List<String> candidates) {
         untried = candidates;
         awaiting = false;
     }
 
     /** Prefers the VM that another one named as granter, if it was not tried yet. */
-    void prefer(String granter) {
+    void prioritize(String granter) {
         if (!untried.contains(granter)) {
             return;
         }
@@ -88,7 +88,7 @@
     }
 
     /** Returns the next VM to ask and counts the request as sent now, empty if all were tried. */
-    Optional<String> next(long newSequence, long nowNanos) {
+    Optional<String> nextTarget(long newSequence, long nowNanos) {
         if (untried.isEmpty()) {
             awaiting = false;
             return Optional.empty();
@@ -102,11 +102,11 @@
         return Optional.of(target);
     }
 
-    boolean isAnswer(long ofSequence) {
+    boolean isAwaitedReply(long ofSequence) {
         return awaiting && ofSequence == sequence;
     }
 
-    void settle() {
+    void finishRequest() {
         awaiting = false;
         untried = List.of();
     }
@@ -117,7 +117,7 @@
      */
     boolean onGranted(long nowNanos) {
         long until = sentAtNanos + FloorTiming.GRANT_DURATION.toNanos();
-        settle();
+        finishRequest();
         if (nowNanos - until >= 0 || (wasLive && !isLive(nowNanos))) {
             return false;
         }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/LeaseVoter.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/LeaseVoter.java
@@ -21,7 +21,7 @@
 
     /** Abstains for one lease in all services. */
     public void abstain(long nowNanos) {
-        abstainUntilNanos = nowNanos + FloorTiming.giverNanos(FloorTiming.LEASE_DURATION);
+        abstainUntilNanos = nowNanos + FloorTiming.issuerNanos(FloorTiming.LEASE_DURATION);
     }
 
     /**
@@ -44,7 +44,7 @@
     }
 
     /** Returns the candidate that has the vote of this VM now. */
-    public Optional<String> holder(String service, long nowNanos) {
+    public Optional<String> votedFor(String service, long nowNanos) {
         Ballot ballot = ballots.get(service);
         if (ballot == null || !ballot.isGiven(nowNanos)) {
             return Optional.empty();
@@ -53,7 +53,7 @@
     }
 
     /** Takes note of the voter set in the view of this VM, so that a change is seen when it happens. */
-    public void observe(String service, VoterSet own, long nowNanos) {
+    public void updateVoterSet(String service, VoterSet own, long nowNanos) {
         Ballot ballot = ballots.get(service);
         if (ballot != null) {
             ballot.changeSet(own, nowNanos);
@@ -83,7 +83,7 @@
                 return;
             }
             set = now;
-            abstainUntilNanos = nowNanos + FloorTiming.giverNanos(FloorTiming.LEASE_DURATION);
+            abstainUntilNanos = nowNanos + FloorTiming.issuerNanos(FloorTiming.LEASE_DURATION);
         }
 
         boolean isGiven(long nowNanos) {
@@ -95,7 +95,7 @@
                 return false;
             }
             candidate = Optional.of(asking);
-            untilNanos = nowNanos + FloorTiming.giverNanos(FloorTiming.LEASE_DURATION);
+            untilNanos = nowNanos + FloorTiming.issuerNanos(FloorTiming.LEASE_DURATION);
             return true;
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/RightsHolder.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/RightsHolder.java
@@ -33,15 +33,16 @@
     }
 
     /** Asks for a right, or renews it. */
-    public List<FloorAction> ask(String service, String server, VoterSet voters, ServiceRules inForce, long nowNanos) {
+    public List<FloorAction> request(
+            String service, String server, VoterSet voters, ServiceRules inForce, long nowNanos) {
         rules.put(service, inForce);
         HeldRight right =
                 rights.computeIfAbsent(new Key(service, server), key -> new HeldRight(service, server, nowNanos));
-        right.want(nowNanos);
-        if (right.isAwaiting() || (right.isLive(nowNanos) && !right.isRenewalDue(nowNanos))) {
+        right.markRequested(nowNanos);
+        if (right.isAwaitingReply() || (right.isLive(nowNanos) && !right.isRenewalDue(nowNanos))) {
             return List.of();
         }
-        right.askInTurn(candidates(service, voters));
+        right.setCandidates(candidates(service, voters));
         return askNext(right, nowNanos);
     }
 
@@ -54,7 +55,7 @@
     /** Takes in an answer. */
     public List<FloorAction> onReply(String sender, RightReply reply, long nowNanos) {
         HeldRight right = rights.get(new Key(reply.service(), reply.server()));
-        if (right == null || !right.isAnswer(reply.sequence())) {
+        if (right == null || !right.isAwaitedReply(reply.sequence())) {
             return List.of();
         }
         return switch (reply.verdict()) {
@@ -62,7 +63,7 @@
             case REFUSED -> onRefused(sender, right, nowNanos);
             case NOT_GRANTER -> {
                 granters.remove(reply.service(), sender);
-                right.prefer(reply.granter());
+                right.prioritize(reply.granter());
                 yield askNext(right, nowNanos);
             }
         };
@@ -107,7 +108,7 @@
     }
 
     /** Returns the number of rights that are live. */
-    public long liveRights(long nowNanos) {
+    public long liveGrants(long nowNanos) {
         return rights.values().stream().filter(right -> right.isLive(nowNanos)).count();
     }
 
@@ -117,29 +118,34 @@
     }
 
     private List<FloorAction> onTick(HeldRight right, Function<String, VoterSet> voters, long nowNanos) {
-        if (right.isLapsed(nowNanos)) {
+        if (right.isExpired(nowNanos)) {
             rights.remove(new Key(right.service(), right.server()));
             return List.of(new Revoked(right.service(), right.server()));
         }
-        if (right.isAnswerOverdue(nowNanos)) {
+        if (right.isReplyOverdue(nowNanos)) {
             granters.remove(right.service());
             return askNext(right, nowNanos);
         }
-        if (right.isLive(nowNanos) && right.isWanted(nowNanos) && right.isRenewalDue(nowNanos)) {
-            right.askInTurn(candidates(right.service(), voters.apply(right.service())));
+        if (right.isLive(nowNanos) && right.isRequestedRecently(nowNanos) && right.isRenewalDue(nowNanos)) {
+            right.setCandidates(candidates(right.service(), voters.apply(right.service())));
             return askNext(right, nowNanos);
         }
         return List.of();
     }
 
     private List<FloorAction> askNext(HeldRight right, long nowNanos) {
-        Optional<String> target = right.next(++lastSequence, nowNanos);
+        Optional<String> target = right.nextTarget(++lastSequence, nowNanos);
         if (target.isEmpty()) {
             return refuseUnlessLive(right, nowNanos);
         }
         ServiceRules known = rules.get(right.service());
         RightRequest request = new RightRequest(
-                right.service(), right.server(), right.sequence(), right.wasLive(), known.ticket(), known.allowance());
+                right.service(),
+                right.server(),
+                right.sequence(),
+                right.wasLiveAtRequest(),
+                known.ticket(),
+                known.allowance());
         return List.of(new Send(target.get(), request));
     }
 
@@ -160,7 +166,7 @@
     }
 
     private List<FloorAction> refuseUnlessLive(HeldRight right, long nowNanos) {
-        right.settle();
+        right.finishRequest();
         if (right.isLive(nowNanos)) {
             return List.of();
         }
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/VoterSet.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/VoterSet.java
@@ -28,8 +28,9 @@
 
     /** Returns the voters of the service in the given view. */
     public static VoterSet of(FleetView view, String service) {
-        return new VoterSet(
-                view.rankedByList("floor/" + service, SIZE).stream().map(Vm::id).toList());
+        return new VoterSet(view.rankedPublished("floor/" + service, SIZE).stream()
+                .map(Vm::id)
+                .toList());
     }
 
     /** Returns the votes that a lease needs: all of up to four voters, four of five. */
--- a/coppershelf/src/main/java/io/coppershelf/gateway/Gateway.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/Gateway.java
@@ -99,21 +99,21 @@
      */
     public void stop() throws InterruptedException {
         long startNanos = System.nanoTime();
-        log.important("stopping", Fields.of("underWay", traffic.requestsUnderWay()));
-        state.stopping();
+        log.important("stopping", Fields.of("underWay", traffic.requestsInFlight()));
+        state.announceStop();
         TimeUnit.NANOSECONDS.sleep(BALANCER_NOTICE.toNanos());
         long limitNanos = settings.stopLimit().minus(STOP_MARGIN).toNanos();
-        traffic.closeIdleCallers();
+        traffic.closeIdleConnections();
         awaitAnswers(startNanos + LATEST_READING.toNanos());
         traffic.stopReading();
         awaitAnswers(startNanos + limitNanos);
-        log.important("stopped", Fields.of("underWay", traffic.requestsUnderWay()));
+        log.important("stopped", Fields.of("underWay", traffic.requestsInFlight()));
     }
 
     private void awaitAnswers(long limitNanos) throws InterruptedException {
         do {
             TimeUnit.MILLISECONDS.sleep(STOP_POLL_MILLIS);
-        } while (traffic.requestsUnderWay() > 0 && System.nanoTime() - limitNanos < 0);
+        } while (traffic.requestsInFlight() > 0 && System.nanoTime() - limitNanos < 0);
     }
 
     /** A VM whose metrics can't be served still serves callers. */
--- a/coppershelf/src/main/java/io/coppershelf/gateway/MeasuredReader.java
+++ b/coppershelf/src/main/java/io/coppershelf/gateway/MeasuredReader.java
@@ -47,9 +47,9 @@
     }
 
     @Override
-    public void readConfigurationCheaply(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure) {
+    public void readConfigurationAllowingStale(long revision, Consumer<FleetConfiguration> onRead, Runnable onFailure) {
         long startNanos = System.nanoTime();
-        reader.readConfigurationCheaply(
+        reader.readConfigurationAllowingStale(
                 revision,
                 configuration -> {
                     count(CONFIGURATION, "read", startNanos);
@@ -65,15 +65,15 @@
         long startNanos = System.nanoTime();
         return new Listener() {
             @Override
-            public void read(CatalogChange change) {
+            public void readSucceeded(CatalogChange change) {
                 count(kind, "read", startNanos);
-                listener.read(change);
+                listener.readSucceeded(change);
             }
 
             @Override
-            public void failed(Failure failure, String reason) {
+            public void readFailed(Failure failure, String reason) {
                 count(kind, failure.name().toLowerCase(Locale.ROOT), startNanos);
-                listener.failed(failure, reason);
+                listener.readFailed(failure, reason);
             }
         };
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/GroupHealth.java
@@ -78,7 +78,7 @@
             boolean joined = !servers.containsKey(spec.name());
             ServerHealth server =
                     servers.computeIfAbsent(spec.name(), name -> new ServerHealth(name, policy, commands, nowNanos));
-            server.apply(policy);
+            server.setPolicy(policy);
             if (joined && configured) {
                 server.startCold(time(nowNanos));
             }
@@ -91,9 +91,9 @@
     private void forget(String server) {
         servers.remove(server);
         lastHeardNanos.remove(server);
-        drainSigns.forget(server);
-        usualTimes.forget(server);
-        errorRates.forget(server);
+        drainSigns.remove(server);
+        usualTimes.remove(server);
+        errorRates.remove(server);
     }
 
     private void applyTicketDrain(ServerSpec spec, ServerHealth server, long nowNanos) {
@@ -127,9 +127,9 @@
     private void hearOfPath(String server, ServerHealth health, TryEnd end, ServerState state, long nowNanos) {
         if (end == TryEnd.ANSWERED || state != ServerState.UNSTATED) {
             lastHeardNanos.put(server, nowNanos);
-            health.path().answered();
+            health.path().recordAnswer();
         } else if (end == TryEnd.NOT_CONNECTED) {
-            health.path().connectFailed();
+            health.path().recordConnectFailure();
         }
     }
 
@@ -151,11 +151,11 @@
     }
 
     private void judgeAnswer(String server, ServerHealth health, WatchedTry watched, long age, long nowNanos) {
-        health.evidence().answered(watched, clock.observedNanos());
+        health.evidence().markOvertaken(watched, clock.observedNanos());
         usualTimes
-                .usualOfPeers(watched.route(), server)
-                .ifPresent(usual -> health.answered(age, usual, time(nowNanos)));
-        health.finished(watched.route(), false, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
+                .typicalOfPeers(watched.route(), server)
+                .ifPresent(usual -> health.recordAnswer(age, usual, time(nowNanos)));
+        health.recordError(watched.route(), false, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
         errorRates.record(server, watched.route(), false);
         if (health.condition() == ServerCondition.IN_SERVICE) {
             usualTimes.record(server, watched.route(), age);
@@ -163,17 +163,18 @@
     }
 
     private void judgeError(String server, ServerHealth health, WatchedTry watched, long nowNanos) {
-        health.finished(watched.route(), true, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
+        health.recordError(watched.route(), true, errorRates.rateOfPeers(watched.route(), server), time(nowNanos));
         errorRates.record(server, watched.route(), true);
     }
 
     private void judgeTimeout(String server, ServerHealth health, WatchedTry watched, long nowNanos) {
         double surprise = usualTimes
-                .usual(watched.route())
-                .map(usual -> StallDetector.surprise(watched, usual.slowedBy(health.slowness()), clock.observedNanos()))
+                .typical(watched.route())
+                .map(usual ->
+                        StallDetector.surprisal(watched, usual.slowedBy(health.slowness()), clock.observedNanos()))
                 .orElse(0.0);
         if (surprise >= TIMEOUT_NATS) {
-            health.timedOut(surprise, time(nowNanos));
+            health.recordTimeout(surprise, time(nowNanos));
             errorRates.record(server, watched.route(), true);
         }
     }
@@ -182,10 +183,10 @@
     public void probeEnded(String server, Optional<ServerState> state, long nowNanos) {
         find(server).ifPresent(health -> {
             if (state.isEmpty()) {
-                health.path().probeFailed();
+                health.path().recordProbeFailure();
             } else {
                 lastHeardNanos.put(server, nowNanos);
-                health.path().answered();
+                health.path().recordAnswer();
                 hear(server, health, state.get(), nowNanos);
             }
             evaluate(server, health, nowNanos);
@@ -195,36 +196,36 @@
     private void hear(String server, ServerHealth health, ServerState state, long nowNanos) {
         switch (state) {
             case DRAINING -> {
-                drainSigns.stateDraining(server, nowNanos);
+                drainSigns.reportDraining(server, nowNanos);
                 health.drain("draining by its own word", time(nowNanos));
             }
             case COLD -> {
                 endOwnDrain(server, health, nowNanos);
-                health.stateCold(time(nowNanos));
+                health.reportCold(time(nowNanos));
             }
             case READY -> {
                 endOwnDrain(server, health, nowNanos);
-                health.stateReady();
+                health.reportReady();
             }
             case UNSTATED, SHEDDING -> {}
         }
     }
 
     private void endOwnDrain(String server, ServerHealth health, long nowNanos) {
-        if (!drainSigns.stateRunning(server, nowNanos)) {
+        if (!drainSigns.reportNotDraining(server, nowNanos)) {
             health.endDrain(time(nowNanos));
         }
     }
 
     /** Takes in the usual times that another owner of the service sees. */
-    public void baselineHeard(String sender, Map<String, Long> usualNanos, long nowNanos) {
-        usualTimes.hear(sender, usualNanos, nowNanos);
+    public void serviceTimesReceived(String sender, Map<String, Long> usualNanos, long nowNanos) {
+        usualTimes.recordReported(sender, usualNanos, nowNanos);
     }
 
     /** Takes in whether another VM reaches the server. */
-    public void reachabilityHeard(String server, boolean reachable, long nowNanos) {
+    public void reachabilityReported(String server, boolean reachable, long nowNanos) {
         find(server).ifPresent(health -> {
-            health.path().heard(reachable, nowNanos);
+            health.path().recordPeerReport(reachable, nowNanos);
             evaluate(server, health, nowNanos);
         });
     }
@@ -243,9 +244,9 @@
 
     /** Judges all servers; to be called at least every 50 ms. */
     public void tick(long nowNanos) {
-        usualTimes.tick(nowNanos);
+        usualTimes.expireReported(nowNanos);
         servers.forEach((name, server) -> {
-            server.evidence().fade(clock.observedNanos());
+            server.evidence().decay(clock.observedNanos());
             evaluate(name, server, nowNanos);
             probeIfQuiet(name, nowNanos);
         });
@@ -253,7 +254,7 @@
             sharedNanos = nowNanos;
             Map<String, Long> medians = usualTimes.ownMedians();
             if (!medians.isEmpty()) {
-                commands.shareUsualTimes(medians);
+                commands.shareServiceTimes(medians);
             }
         }
     }
@@ -294,7 +295,7 @@
     }
 
     /** Returns a server in suspicion or probation that is to be tried with idempotent work. */
-    public Optional<String> trialDue(long nowNanos) {
+    public Optional<String> findServerDueForTrial(long nowNanos) {
         return servers.entrySet().stream()
                 .filter(entry -> entry.getValue().isTrialDue(nowNanos))
                 .map(Map.Entry::getKey)
@@ -317,7 +318,7 @@
     }
 
     /** Returns the names of all servers. */
-    public Collection<String> names() {
+    public Collection<String> serverNames() {
         return servers.keySet();
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/HealthCommands.java
@@ -5,7 +5,7 @@
 /** What the health of a group wants done. */
 public interface HealthCommands {
     /** Ask for the right to eject the server, or renew it. */
-    void askEjection(String server, String reason);
+    void requestEjection(String server, String reason);
 
     /** Give the right to eject the server back. */
     void releaseEjection(String server);
@@ -14,13 +14,13 @@
     void probe(String server);
 
     /** Ask other VMs whether they reach the server. */
-    void askReachability(String server);
+    void queryReachability(String server);
 
     /** Cancel a try that runs on the server. */
     void cancel(String tryId, String server);
 
     /** Tell the other owners of the service the usual service times, per route in nanoseconds. */
-    void shareUsualTimes(Map<String, Long> usualNanos);
+    void shareServiceTimes(Map<String, Long> usualNanos);
 
     /** Record the change of the server's condition. */
     void conditionChanged(String server, ServerCondition from, ServerCondition to, String reason);
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ColdStart.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ColdStart.java
@@ -35,13 +35,13 @@
     }
 
     /** Takes in the server's word that it is cold; returns whether the word counts. */
-    public boolean stateCold() {
+    public boolean reportCold() {
         stated = true;
         return !distrusted;
     }
 
     /** Takes in the server's word that it is ready. */
-    public void stateReady() {
+    public void reportReady() {
         stated = false;
         distrusted = false;
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/CumulativeSum.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/CumulativeSum.java
@@ -19,11 +19,11 @@
     private long fadedNanos;
 
     void add(double logLikelihoodRatio, long observedNanos) {
-        fade(observedNanos);
+        decay(observedNanos);
         nats = Math.max(0, Math.min(LARGEST_NATS, nats + logLikelihoodRatio));
     }
 
-    void fade(long observedNanos) {
+    void decay(long observedNanos) {
         nats *= Math.pow(0.5, (double) (observedNanos - fadedNanos) / FADE_HALF_LIFE_NANOS);
         fadedNanos = observedNanos;
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSigns.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/DrainSigns.java
@@ -25,12 +25,12 @@
     }
 
     /** Takes in the server's word that it drains. */
-    public void stateDraining(String server, long nowNanos) {
+    public void reportDraining(String server, long nowNanos) {
         byOwnWord.put(server, nowNanos);
     }
 
     /** Takes in the server's word that it does not drain; returns whether it is to drain all the same. */
-    public boolean stateRunning(String server, long nowNanos) {
+    public boolean reportNotDraining(String server, long nowNanos) {
         Long since = byOwnWord.get(server);
         if (since != null && nowNanos - since >= LEAST_DRAIN_NANOS) {
             byOwnWord.remove(server);
@@ -39,7 +39,7 @@
     }
 
     /** Forgets a server that is gone. */
-    public void forget(String server) {
+    public void remove(String server) {
         byTicket.remove(server);
         byOwnWord.remove(server);
     }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/EjectionRight.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/EjectionRight.java
@@ -15,7 +15,7 @@
     private long nextAskNanos;
 
     /** Returns whether it is time to ask for the right, and counts it as asked then. */
-    public boolean shouldAsk(long nowNanos) {
+    public boolean shouldRequest(long nowNanos) {
         boolean wanted = !held || nowNanos - renewNanos >= 0;
         if (!wanted || (asked && nowNanos - nextAskNanos < 0)) {
             return false;
@@ -40,7 +40,7 @@
     }
 
     /** Forgets the right; returns whether it was held. */
-    public boolean drop() {
+    public boolean release() {
         boolean wasHeld = held;
         held = false;
         asked = false;
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorComparison.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorComparison.java
@@ -33,8 +33,8 @@
     }
 
     /** Lets old evidence fade. */
-    public void fade(long observedNanos) {
-        byRoute.values().forEach(sum -> sum.fade(observedNanos));
+    public void decay(long observedNanos) {
+        byRoute.values().forEach(sum -> sum.decay(observedNanos));
     }
 
     /** Forgets all evidence. */
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorRates.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ErrorRates.java
@@ -26,7 +26,7 @@
     }
 
     /** Forgets a server that is gone. */
-    public void forget(String server) {
+    public void remove(String server) {
         byRoute.values().forEach(rates -> rates.remove(server));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/HoldTime.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/HoldTime.java
@@ -13,7 +13,7 @@
     private long recoveredNanos;
 
     /** Returns the hold time of an ejection and doubles the next one. */
-    public Duration eject(long nowNanos) {
+    public Duration nextDuration(long nowNanos) {
         Duration hold = next;
         next = min(next.multipliedBy(2), LONGEST);
         recoveredNanos = nowNanos;
@@ -21,7 +21,7 @@
     }
 
     /** Halves the hold time for each span of good service since the last ejection. */
-    public void recover(long nowNanos) {
+    public void recordHealthy(long nowNanos) {
         if (next.compareTo(FIRST) > 0 && nowNanos - recoveredNanos >= RECOVERY.toNanos()) {
             next = max(next.dividedBy(2), FIRST);
             recoveredNanos = nowNanos;
@@ -29,7 +29,7 @@
     }
 
     /** Returns whether the server was ejected not long ago. */
-    public boolean hasHistory() {
+    public boolean wasRecentlyEjected() {
         return next.compareTo(FIRST) > 0;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/LatencyComparison.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/LatencyComparison.java
@@ -26,8 +26,8 @@
     }
 
     /** Lets old evidence fade. */
-    public void fade(long observedNanos) {
-        sum.fade(observedNanos);
+    public void decay(long observedNanos) {
+        sum.decay(observedNanos);
     }
 
     /** Sets the evidence, for instance to 0 when the server starts anew. */
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueTries.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/OverdueTries.java
@@ -19,8 +19,8 @@
 
     private static boolean isOverdue(WatchedTry watched, UsualTimes usualTimes, long observedNanos) {
         return usualTimes
-                .usual(watched.route())
-                .map(usual -> usual.surprise(watched.ageNanos(observedNanos)) >= OVERDUE_NATS)
+                .typical(watched.route())
+                .map(usual -> usual.surprisal(watched.ageNanos(observedNanos)) >= OVERDUE_NATS)
                 .orElse(false);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/PathCheck.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/PathCheck.java
@@ -30,7 +30,7 @@
     private long heardNanos;
 
     /** Takes in that a connection could not be made. */
-    public void connectFailed() {
+    public void recordConnectFailure() {
         connectFailures++;
         if (connectFailures >= CONNECT_FAILURES) {
             own = Verdict.BROKEN;
@@ -38,25 +38,25 @@
     }
 
     /** Takes in that the server answered this VM. */
-    public void answered() {
+    public void recordAnswer() {
         connectFailures = 0;
         own = Verdict.CLEAR;
     }
 
     /** Takes in that a probe was not answered. */
-    public void probeFailed() {
+    public void recordProbeFailure() {
         own = Verdict.BROKEN;
     }
 
     /** Forgets what was known, at the start of a suspicion. */
-    public void restart() {
+    public void reset() {
         own = connectFailures >= CONNECT_FAILURES ? Verdict.BROKEN : Verdict.UNKNOWN;
         heardReachable = false;
         heardUnreachable = false;
     }
 
     /** Takes in whether another VM reaches the server. */
-    public void heard(boolean reachable, long nowNanos) {
+    public void recordPeerReport(boolean reachable, long nowNanos) {
         heardReachable |= reachable;
         heardUnreachable |= !reachable;
         heardNanos = nowNanos;
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerEvidence.java
@@ -15,7 +15,7 @@
 
     /** Takes in a try that was dispatched. */
     public void dispatched(WatchedTry watched) {
-        inFlight.put(watched.tryId(), watched);
+        inFlight.put(watched.attemptId(), watched);
     }
 
     /** Takes in that a try ended, and returns it. */
@@ -24,11 +24,11 @@
     }
 
     /** Takes in an answer: the tries of its kind that were dispatched before it have been overtaken. */
-    public void answered(WatchedTry answered, long observedNanos) {
+    public void markOvertaken(WatchedTry answered, long observedNanos) {
         for (WatchedTry other : inFlight.values()) {
             if (other.route().equals(answered.route())
                     && other.ageNanos(observedNanos) > answered.ageNanos(observedNanos)) {
-                other.overtake();
+                other.recordOvertaken();
             }
         }
     }
@@ -41,12 +41,12 @@
     }
 
     /** Takes in that a try ended without an answer after a time that is so surprising, in nats. */
-    public void recordSilence(double surprise, long observedNanos) {
+    public void recordTimeout(double surprise, long observedNanos) {
         silence.add(surprise, observedNanos);
     }
 
     /** Sets the evidence of slowness in nats. */
-    public void suppose(double nats, long observedNanos) {
+    public void setSlowness(double nats, long observedNanos) {
         latency.set(nats, observedNanos);
     }
 
@@ -61,10 +61,10 @@
     }
 
     /** Lets old evidence fade. */
-    public void fade(long observedNanos) {
-        latency.fade(observedNanos);
-        silence.fade(observedNanos);
-        errors.fade(observedNanos);
+    public void decay(long observedNanos) {
+        latency.decay(observedNanos);
+        silence.decay(observedNanos);
+        errors.decay(observedNanos);
     }
 
     /** Forgets all evidence; what is in flight says nothing any more. */
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/ServerHealth.java
@@ -46,7 +46,7 @@
     }
 
     /** Sets the limits of evidence. */
-    public void apply(HealthPolicy newPolicy) {
+    public void setPolicy(HealthPolicy newPolicy) {
         policy = newPolicy;
     }
 
@@ -60,15 +60,15 @@
     }
 
     /** Takes in that the server says it is cold. */
-    public void stateCold(GroupTime time) {
-        if (coldStart.stateCold()) {
+    public void reportCold(GroupTime time) {
+        if (coldStart.reportCold()) {
             startCold(time);
         }
     }
 
     /** Takes in that the server says it is ready. */
-    public void stateReady() {
-        coldStart.stateReady();
+    public void reportReady() {
+        coldStart.reportReady();
     }
 
     /** Takes the server out of service because it is leaving. */
@@ -89,7 +89,7 @@
     }
 
     /** Takes in the service time of an answer against the usual time on the server's peers. */
-    public void answered(long nanos, UsualTime usual, GroupTime time) {
+    public void recordAnswer(long nanos, UsualTime usual, GroupTime time) {
         double ratio = evidence.recordAnswer(nanos, usual.slowedBy(slowness()), time.observedNanos());
         if (condition == ServerCondition.PROBATION && ratio < 0) {
             goodAnswers++;
@@ -97,7 +97,7 @@
     }
 
     /** Takes in whether the server caused an error. */
-    public void finished(String route, boolean error, double rateOfPeers, GroupTime time) {
+    public void recordError(String route, boolean error, double rateOfPeers, GroupTime time) {
         evidence.errors().record(route, error, rateOfPeers, time.observedNanos());
         if (error && condition == ServerCondition.PROBATION) {
             holdAgain(time);
@@ -105,8 +105,8 @@
     }
 
     /** Takes in that a try ended without an answer, and how surprising its age was. */
-    public void timedOut(double surprise, GroupTime time) {
-        evidence.recordSilence(surprise, time.observedNanos());
+    public void recordTimeout(double surprise, GroupTime time) {
+        evidence.recordTimeout(surprise, time.observedNanos());
         if (condition == ServerCondition.PROBATION) {
             holdAgain(time);
         }
@@ -160,10 +160,10 @@
             change(ServerCondition.IN_SERVICE, "warm", time);
         }
         if (finding.nats() < suspicionNats() && path.verdict(time.nowNanos()) != Verdict.BROKEN) {
-            holdTime.recover(time.nowNanos());
+            holdTime.recordHealthy(time.nowNanos());
             return;
         }
-        path.restart();
+        path.reset();
         change(ServerCondition.SUSPECTED, finding.cause(), time);
         checkPath(time);
     }
@@ -183,8 +183,8 @@
         wantsTrial = verdict == Verdict.CLEAR && !strong;
         boolean early = common && time.nowNanos() - sinceNanos < COMMON_SUSPICION_NANOS;
         boolean reached = verdict == Verdict.CLEAR || verdict == Verdict.DOWN;
-        if (strong && reached && !early && right.shouldAsk(time.nowNanos())) {
-            commands.askEjection(server, reason);
+        if (strong && reached && !early && right.shouldRequest(time.nowNanos())) {
+            commands.requestEjection(server, reason);
         }
     }
 
@@ -199,7 +199,7 @@
     private void checkPath(GroupTime time) {
         probedNanos = time.nowNanos();
         commands.probe(server);
-        commands.askReachability(server);
+        commands.queryReachability(server);
     }
 
     private void evaluateEjected(GroupTime time) {
@@ -227,8 +227,8 @@
     }
 
     private void renewRight(GroupTime time) {
-        if (right.shouldAsk(time.nowNanos())) {
-            commands.askEjection(server, reason);
+        if (right.shouldRequest(time.nowNanos())) {
+            commands.requestEjection(server, reason);
         }
     }
 
@@ -237,19 +237,20 @@
     }
 
     private void hold(String why, GroupTime time) {
-        holdUntilNanos = time.nowNanos() + holdTime.eject(time.nowNanos()).toNanos();
+        holdUntilNanos =
+                time.nowNanos() + holdTime.nextDuration(time.nowNanos()).toNanos();
         change(ServerCondition.EJECTED, why, time);
     }
 
     private void returnToSuspicion(String why, GroupTime time) {
         if (condition == ServerCondition.EJECTED || condition == ServerCondition.PROBATION) {
-            evidence.suppose(policy.ejectionNats(), time.observedNanos());
+            evidence.setSlowness(policy.ejectionNats(), time.observedNanos());
             change(ServerCondition.SUSPECTED, why, time);
         }
     }
 
     private void dropRight() {
-        if (right.drop()) {
+        if (right.release()) {
             commands.releaseEjection(server);
         }
     }
@@ -273,7 +274,7 @@
         }
         OverdueTries.of(evidence, usualTimes, observedNanos).stream()
                 .filter(WatchedTry::markCancelled)
-                .forEach(watched -> commands.cancel(watched.tryId(), server));
+                .forEach(watched -> commands.cancel(watched.attemptId(), server));
     }
 
     /** Returns the slots that new work may use, 0 if the server gets none. */
@@ -338,6 +339,6 @@
     }
 
     private double historyFactor() {
-        return holdTime.hasHistory() ? policy.historyFactor() : 1.0;
+        return holdTime.wasRecentlyEjected() ? policy.historyFactor() : 1.0;
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/StallDetector.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/StallDetector.java
@@ -31,23 +31,23 @@
         double sum = 0;
         int count = 0;
         for (WatchedTry watched : inFlight) {
-            Optional<UsualTime> usual = usualTimes.usual(watched.route());
+            Optional<UsualTime> usual = usualTimes.typical(watched.route());
             if (usual.isPresent() && !watched.isIgnored()) {
-                sum += surprise(watched, usual.get().slowedBy(slowness), observedNanos);
+                sum += surprisal(watched, usual.get().slowedBy(slowness), observedNanos);
                 count++;
             }
         }
-        return combined(sum, count);
+        return combineByFisher(sum, count);
     }
 
     /** Returns how surprising it is that the try has run for so long, in nats, up to what one try can say. */
-    public static double surprise(WatchedTry watched, UsualTime usual, long observedNanos) {
-        double surprise = Math.min(TRY_LIMIT_NATS, usual.surprise(watched.ageNanos(observedNanos)));
-        return Math.max(0, surprise - OVERTAKEN_NATS * watched.overtaken());
+    public static double surprisal(WatchedTry watched, UsualTime usual, long observedNanos) {
+        double surprise = Math.min(TRY_LIMIT_NATS, usual.surprisal(watched.ageNanos(observedNanos)));
+        return Math.max(0, surprise - OVERTAKEN_NATS * watched.overtakenCount());
     }
 
     /** Returns the negative logarithm of the upper tail of a gamma distribution with an integer shape. */
-    static double combined(double sum, int count) {
+    static double combineByFisher(double sum, int count) {
         double term = 1;
         double series = 0;
         for (int k = 0; k < count; k++) {
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/UsualTime.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/UsualTime.java
@@ -27,7 +27,7 @@
      * Returns how surprising it is that a try has run for so long: the negative logarithm of the probability, in nats.
      * Service times are taken as log-logistic, whose tail is heavier than that of a log-normal distribution.
      */
-    public double surprise(long ageNanos) {
+    public double surprisal(long ageNanos) {
         return Math.log1p(Math.exp(deviation(ageNanos) / logDeviation * LOGISTIC_DEVIATION));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/UsualTimes.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/UsualTimes.java
@@ -41,30 +41,30 @@
     }
 
     /** Takes in what another owner of the service tells, per route in nanoseconds. */
-    public void hear(String sender, Map<String, Long> usualNanos, long nowNanos) {
+    public void recordReported(String sender, Map<String, Long> usualNanos, long nowNanos) {
         heard.put(sender, new Heard(Map.copyOf(usualNanos), nowNanos));
         cache.clear();
     }
 
     /** Forgets old figures of other owners, and what was worked out from them. */
-    public void tick(long nowNanos) {
+    public void expireReported(long nowNanos) {
         heard.values().removeIf(figures -> nowNanos - figures.atNanos > HEARD_VALID_NANOS);
         cache.clear();
     }
 
     /** Forgets a server that is gone. */
-    public void forget(String server) {
+    public void remove(String server) {
         byRoute.values().forEach(averages -> averages.remove(server));
         cache.clear();
     }
 
     /** Returns the usual time of the kind on all servers, empty if too little is known. */
-    public Optional<UsualTime> usual(String route) {
+    public Optional<UsualTime> typical(String route) {
         return cache.computeIfAbsent(new Lookup(route, ""), this::lookUp);
     }
 
     /** Returns the usual time of the kind on the server's peers, empty if too little is known. */
-    public Optional<UsualTime> usualOfPeers(String route, String server) {
+    public Optional<UsualTime> typicalOfPeers(String route, String server) {
         return cache.computeIfAbsent(new Lookup(route, server), this::lookUp);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/health/internal/WatchedTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/health/internal/WatchedTry.java
@@ -21,7 +21,7 @@
     }
 
     /** Returns the id of the try. */
-    public String tryId() {
+    public String attemptId() {
         return tryId;
     }
 
@@ -46,12 +46,12 @@
     }
 
     /** Counts an answer of the same kind to a later try on the same server. */
-    public void overtake() {
+    public void recordOvertaken() {
         overtaken++;
     }
 
     /** Returns the number of answers of the same kind to later tries on the same server. */
-    public int overtaken() {
+    public int overtakenCount() {
         return overtaken;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/http/AnswerListener.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/AnswerListener.java
@@ -3,7 +3,7 @@
 /** Hears how an exchange ended, once, on the thread of the connection. */
 public interface AnswerListener {
     /** Returns whether the answer belongs to the request; one that does not is skipped. */
-    boolean isOwn(HttpAnswer answer);
+    boolean belongsToRequest(HttpAnswer answer);
 
     /** The whole answer has arrived. */
     void answered(HttpAnswer answer);
--- a/coppershelf/src/main/java/io/coppershelf/http/HttpLink.java
+++ b/coppershelf/src/main/java/io/coppershelf/http/HttpLink.java
@@ -132,7 +132,7 @@
         }
         byte[] bytes = takeBody();
         HttpAnswer answer = new HttpAnswer(response.status().code(), response.headers(), bytes);
-        if (!listener.get().isOwn(answer)) {
+        if (!listener.get().belongsToRequest(answer)) {
             isReusable = false;
             hasSkipped = true;
             return;
--- a/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/FleetView.java
@@ -22,7 +22,7 @@
      * Returns whether the live VMs are more than half of all that should be there: those count as well that peers say
      * are gone and that neither left nor were dropped from the platform's list. In a split, one side at most has it.
      */
-    default boolean isMajority() {
+    default boolean hasMajority() {
         return true;
     }
 
@@ -45,7 +45,7 @@
      * @param key what is to be placed
      * @param limit the most VMs to return
      */
-    default List<Vm> rankedByList(String key, int limit) {
+    default List<Vm> rankedPublished(String key, int limit) {
         return ranked(key, "", limit);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/membership/MembershipPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/MembershipPart.java
@@ -68,7 +68,7 @@
         started.start();
         long seed = fleet.current().self().incarnation();
         registry.find(Platform.NAME)
-                .ifPresent(platform -> new ListReader(platform, control, fleet, seed, started::listed).read());
+                .ifPresent(platform -> new ListReader(platform, control, fleet, seed, started::onList).read());
         showMetrics(registry.require(OperatorDesk.NAME), fleet);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/FleetSnapshot.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/FleetSnapshot.java
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public boolean isMajority() {
+    public boolean hasMajority() {
         return vms.size() > goneByPeers;
     }
 
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public List<Vm> rankedByList(String key, int limit) {
+    public List<Vm> rankedPublished(String key, int limit) {
         long keyHash = hash(key);
         List<Candidate> best = new ArrayList<>();
         listed.forEach(vm -> keepBest(best, new Candidate(vm, true, mix(keyHash ^ hash(vm.id()))), limit));
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/GossipQueue.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/GossipQueue.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns the statements for the next message, those told least often first. */
-    List<MemberUpdate> next(int fleetSize) {
+    List<MemberUpdate> nextUpdates(int fleetSize) {
         int limit = TRANSMISSIONS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(fleetSize));
         List<Entry> chosen = entries.values().stream()
                 .sorted(Comparator.comparingInt((Entry entry) -> entry.transmissions)
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/Member.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/Member.java
@@ -31,7 +31,7 @@
 
     /** Returns the VM, leaving if it said so itself or the platform's list does. */
     Vm vm() {
-        return isListedAsLeaving ? update.leaving().vm() : update.vm();
+        return isListedAsLeaving ? update.asLeaving().vm() : update.vm();
     }
 
     /** Returns where to send a probe: to any incarnation unless this one is known to answer. */
@@ -42,15 +42,15 @@
                 : new Vm(vm.id(), 0, vm.dataCentre(), vm.host(), vm.peerPort(), vm.operatorPort(), vm.leaving());
     }
 
-    boolean is(MemberStatus status) {
+    boolean hasStatus(MemberStatus status) {
         return update.status() == status;
     }
 
     boolean isLive() {
-        return !is(MemberStatus.GONE);
+        return !hasStatus(MemberStatus.GONE);
     }
 
-    boolean isGoneByList() {
+    boolean isDroppedFromList() {
         return isGoneByList;
     }
 
@@ -83,27 +83,27 @@
     }
 
     void markLeaving() {
-        update = update.leaving();
+        update = update.asLeaving();
         hash = update.hash();
     }
 
-    void answered(long nowNanos) {
+    void markAnswered(long nowNanos) {
         hasAnswered = true;
         isAnswering = true;
         answeredNanos = nowNanos;
     }
 
-    void unanswered() {
+    void markUnanswered() {
         isAnswering = false;
     }
 
-    void listed(long revision, boolean isLeaving) {
+    void markListed(long revision, boolean isLeaving) {
         listedRevision = revision;
         isListedAsLeaving = isLeaving;
         isGoneByList = false;
     }
 
-    void unlisted(long nowNanos) {
+    void markDroppedFromList(long nowNanos) {
         isGoneByList = true;
         listedRevision = 0;
         replace(update.withStatus(MemberStatus.GONE), nowNanos);
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberTable.java
@@ -64,9 +64,9 @@
         return member(id).filter(Member::isLive).isPresent();
     }
 
-    boolean isRevivable(String id) {
+    boolean isRecoverable(String id) {
         return member(id)
-                .filter(member -> !member.isLive() && !member.isGoneByList())
+                .filter(member -> !member.isLive() && !member.isDroppedFromList())
                 .isPresent();
     }
 
@@ -74,8 +74,8 @@
         return members.keySet().stream().filter(this::isLive).toList();
     }
 
-    List<String> revivableIds() {
-        return members.keySet().stream().filter(this::isRevivable).toList();
+    List<String> recoverableIds() {
+        return members.keySet().stream().filter(this::isRecoverable).toList();
     }
 
     List<Vm> liveVms() {
@@ -87,7 +87,9 @@
     }
 
     List<Member> withStatus(MemberStatus status) {
-        return members.values().stream().filter(member -> member.is(status)).toList();
+        return members.values().stream()
+                .filter(member -> member.hasStatus(status))
+                .toList();
     }
 
     /** Returns the VMs that answer this one, the given one excepted. */
@@ -114,7 +116,7 @@
                 .collect(Collectors.toSet());
         long gone = members.values().stream()
                 .filter(member -> !member.isLive()
-                        && !member.isGoneByList()
+                        && !member.isDroppedFromList()
                         && !member.vm().leaving())
                 .count();
         return new FleetSnapshot(selfVm, liveVms(), answering, (int) gone, listedVms(selfVm));
@@ -126,7 +128,7 @@
             return Stream.concat(
                             Stream.of(selfVm),
                             members.values().stream()
-                                    .filter(member -> !member.isGoneByList())
+                                    .filter(member -> !member.isDroppedFromList())
                                     .map(Member::vm))
                     .toList();
         }
@@ -159,7 +161,7 @@
     private Optional<String> replace(Member member, MemberUpdate update, long nowNanos) {
         boolean wasLeaving = member.update().vm().leaving();
         boolean isSame = member.update().vm().incarnation() == update.vm().incarnation();
-        if (isSame && member.isGoneByList()) {
+        if (isSame && member.isDroppedFromList()) {
             return Optional.empty();
         }
         MemberUpdate before = member.update();
@@ -193,18 +195,18 @@
         return Optional.of("VM " + member.update().vm().id() + " is leaving.");
     }
 
-    void answered(Member member, long nowNanos) {
+    void markAnswered(Member member, long nowNanos) {
         if (!member.isAnswering()) {
             version++;
         }
-        member.answered(nowNanos);
+        member.markAnswered(nowNanos);
     }
 
-    void unanswered(Member member) {
+    void markUnanswered(Member member) {
         if (member.isAnswering()) {
             version++;
         }
-        member.unanswered();
+        member.markUnanswered();
     }
 
     /**
@@ -213,7 +215,7 @@
      *
      * @return what to tell
      */
-    List<String> listed(Listed fresher, long nowNanos) {
+    List<String> applyList(Listed fresher, long nowNanos) {
         List<String> told = new ArrayList<>();
         if (fresher.revision() <= listRevision) {
             return told;
@@ -259,9 +261,9 @@
     }
 
     private void enterCurrent(Member member, Vm vm, long nowNanos) {
-        boolean wasGoneByList = member.isGoneByList();
+        boolean wasGoneByList = member.isDroppedFromList();
         boolean wasLeaving = member.vm().leaving();
-        member.listed(listRevision, vm.leaving());
+        member.markListed(listRevision, vm.leaving());
         if (wasGoneByList) {
             member.replace(member.update().withStatus(MemberStatus.ALIVE), nowNanos);
         }
@@ -275,7 +277,7 @@
             Member member = entry.getValue();
             boolean isDropped = member.listedRevision() > 0 && !listedIds.contains(entry.getKey());
             if (isDropped) {
-                member.unlisted(nowNanos);
+                member.markDroppedFromList(nowNanos);
                 version++;
                 told.add("VM " + entry.getKey() + " is gone: the list dropped it.");
             }
@@ -283,7 +285,7 @@
     }
 
     /** Forgets VMs that have been gone for long, and the first one of too many. */
-    void forgetOld(long nowNanos) {
+    void removeOld(long nowNanos) {
         List<Member> gone = withStatus(MemberStatus.GONE);
         gone.stream()
                 .min(Comparator.comparingLong(Member::changedNanos))
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberUpdate.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MemberUpdate.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns the statement with the VM leaving, which it does for the rest of its incarnation. */
-    MemberUpdate leaving() {
+    MemberUpdate asLeaving() {
         Vm leaver =
                 new Vm(vm.id(), vm.incarnation(), vm.dataCentre(), vm.host(), vm.peerPort(), vm.operatorPort(), true);
         return new MemberUpdate(leaver, refutation, status);
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDecisions.java
@@ -100,14 +100,14 @@
     List<MemberUpdate> gossipFor(String receiver) {
         List<MemberUpdate> updates = new ArrayList<>();
         table.member(receiver)
-                .filter(member -> !member.is(MemberStatus.ALIVE))
+                .filter(member -> !member.hasStatus(MemberStatus.ALIVE))
                 .ifPresent(member -> updates.add(member.update()));
-        updates.addAll(gossip.next(table.liveCount() + 1));
+        updates.addAll(gossip.nextUpdates(table.liveCount() + 1));
         return updates;
     }
 
     /** Returns all statements, for a VM that joins or repairs its knowledge. */
-    List<MemberUpdate> everything() {
+    List<MemberUpdate> allUpdates() {
         List<MemberUpdate> all = table.updates();
         all.add(self);
         return all;
@@ -134,7 +134,7 @@
     }
 
     /** Takes in one event. */
-    List<MembershipAction> on(MembershipEvent event, long nowNanos) {
+    List<MembershipAction> handle(MembershipEvent event, long nowNanos) {
         List<MembershipAction> actions = new ArrayList<>();
         long before = table.version();
         MemberUpdate selfBefore = self;
@@ -185,13 +185,13 @@
         if (nowNanos - lastRevivalNanos >= REVIVAL_INTERVAL_NANOS) {
             lastRevivalNanos = nowNanos;
             goneOrder
-                    .next(table::revivableIds, table::isRevivable)
+                    .next(table::recoverableIds, table::isRecoverable)
                     .ifPresent(id -> actions.add(new Probe(table.require(id).probeTarget())));
         }
         if (nowNanos - judgesFromNanos >= 0) {
             confirmSuspects(nowNanos, actions);
         }
-        table.forgetOld(nowNanos);
+        table.removeOld(nowNanos);
     }
 
     private void afterPause(long nowNanos, List<MembershipAction> actions) {
@@ -224,7 +224,7 @@
         table.member(answerer.vm().id())
                 .filter(member ->
                         member.update().vm().incarnation() == answerer.vm().incarnation())
-                .ifPresent(member -> table.answered(member, nowNanos));
+                .ifPresent(member -> table.markAnswered(member, nowNanos));
         fetchWhatIsMissing(event, nowNanos, actions);
     }
 
@@ -247,7 +247,7 @@
         if (member.isEmpty() || event.beganNanos() - judgesFromNanos < 0 || isPausedNow(nowNanos)) {
             return;
         }
-        table.unanswered(member.get());
+        table.markUnanswered(member.get());
         accusations.begin(event.target(), self.vm().id());
         List<Vm> witnesses = table.answeringOthers(event.target().id());
         Collections.shuffle(witnesses, random);
@@ -283,11 +283,11 @@
     }
 
     private void listed(Listed event, long nowNanos, List<MembershipAction> actions) {
-        table.listed(event, nowNanos).forEach(text -> actions.add(new Told(text)));
+        table.applyList(event, nowNanos).forEach(text -> actions.add(new Told(text)));
         event.vms().stream()
                 .filter(vm -> vm.id().equals(self.vm().id()) && vm.leaving() && isThisIncarnation(vm))
                 .findAny()
-                .ifPresent(listedSelf -> self = self.leaving());
+                .ifPresent(listedSelf -> self = self.asLeaving());
     }
 
     private boolean isThisIncarnation(Vm vm) {
@@ -305,7 +305,7 @@
     }
 
     private void leaveBegun(List<MembershipAction> actions) {
-        self = self.leaving();
+        self = self.asLeaving();
         gossip.add(self);
         List<Vm> told = table.liveVms();
         Collections.shuffle(told, random);
--- a/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
+++ b/coppershelf/src/main/java/io/coppershelf/membership/internal/MembershipDriver.java
@@ -83,7 +83,7 @@
     }
 
     /** Takes in a list of the platform. */
-    public void listed(PublishedVms list) {
+    public void onList(PublishedVms list) {
         post(new MembershipEvent.Listed(list.revision(), list.vms()));
     }
 
@@ -101,7 +101,7 @@
     }
 
     private void on(MembershipEvent event) {
-        decisions.on(event, time.nanos()).forEach(this::perform);
+        decisions.handle(event, time.nanos()).forEach(this::perform);
     }
 
     private void perform(MembershipAction action) {
@@ -194,7 +194,7 @@
                 return;
             }
             heard(request.sender(), List.of());
-            replies.reply(answer(decisions.everything()));
+            replies.reply(answer(decisions.allUpdates()));
         });
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetch.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/ConfigurationFetch.java
@@ -30,7 +30,7 @@
     /** Runs something later, on the same thread. */
     interface Timer {
         /** Runs it after a time. */
-        void after(long millis, Runnable action);
+        void schedule(long millis, Runnable action);
     }
 
     /**
@@ -55,18 +55,18 @@
     }
 
     /** Returns the revision of the newest configuration that was announced. */
-    long wanted() {
+    long newestAnnounced() {
         return Math.max(wanted, inForce.getAsLong());
     }
 
     /** Notes that a configuration was published, and fetches it unless it is in force. */
-    void want(long revision) {
+    void announced(long revision) {
         wanted = Math.max(wanted, revision);
         if (isFetching || inForce.getAsLong() >= wanted) {
             return;
         }
         isFetching = true;
-        reader.readConfigurationCheaply(wanted, this::take, this::askPeer);
+        reader.readConfigurationAllowingStale(wanted, this::take, this::askPeer);
     }
 
     private void askPeer() {
@@ -82,7 +82,7 @@
         isFetching = false;
         pauseMillis = FIRST_PAUSE_MILLIS;
         onRead.accept(configuration);
-        want(wanted);
+        announced(wanted);
     }
 
     private void retryLater(String reason) {
@@ -91,9 +91,9 @@
                 Fields.of("wanted", wanted, "inForce", inForce.getAsLong(), "reason", reason));
         long pause = pauseMillis;
         pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
-        timer.after(pause, () -> {
+        timer.schedule(pause, () -> {
             isFetching = false;
-            want(wanted);
+            announced(wanted);
         });
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetEvidence.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetEvidence.java
@@ -31,19 +31,19 @@
      * @return whether it is news for the fleet
      */
     boolean observe(String serverKey, Observation observation, String source, StateLog log, long nowNanos) {
-        ServerBelief before = beliefs.belief(serverKey, nowNanos);
+        ServerBelief before = beliefs.estimate(serverKey, nowNanos);
         boolean isNews = beliefs.observe(serverKey, observation, nowNanos);
-        log.belief(serverKey, before, beliefs.belief(serverKey, nowNanos), source, observation, nowNanos);
+        log.estimateChanged(serverKey, before, beliefs.estimate(serverKey, nowNanos), source, observation, nowNanos);
         return isNews;
     }
 
     /** Takes what another VM tells of its requests under way. */
-    void heard(Object vm, MeshMessage.Load told, long nowNanos) {
+    void recordLoad(Object vm, MeshMessage.Load told, long nowNanos) {
         int size = Math.min(told.serverCodes().size(), told.inFlight().size());
         for (int i = 0; i < size; i++) {
             long code = told.serverCodes().get(i);
-            if (load.heard(vm, code, told.inFlight().get(i), nowNanos)) {
-                spread.began(code, nowNanos);
+            if (load.recordInFlight(vm, code, told.inFlight().get(i), nowNanos)) {
+                spread.recordRequest(code, nowNanos);
             }
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/FleetState.java
@@ -110,7 +110,7 @@
     }
 
     /** Notes that this VM is going to stop. */
-    public void stopping() {
+    public void announceStop() {
         isStopping = true;
         loop.execute(() -> {
             membership.leave();
@@ -133,7 +133,7 @@
         loop.execute(() -> {
             long now = now();
             if (isBegin) {
-                evidence.spread().began(serverCode, now);
+                evidence.spread().recordRequest(serverCode, now);
             }
             long dueNanos = loadReport.changed(serverCode, inFlight, isBegin, now);
             if (isBegin) {
@@ -143,7 +143,7 @@
     }
 
     private void tellLoad() {
-        loadReport.due(now()).ifPresent(load -> socket.ifPresent(open -> open.send(membership.live(now()), load)));
+        loadReport.pollDue(now()).ifPresent(load -> socket.ifPresent(open -> open.send(membership.live(now()), load)));
     }
 
     private void tick() {
@@ -151,14 +151,14 @@
         noteOutage(now);
         if (grace.expire(now)) {
             Catalog before = catalog;
-            catalog = before.with(grace.inUse(registered));
-            stateLog.servers(before.servers(), catalog.servers(), "expiry");
+            catalog = before.with(grace.withRetained(registered));
+            stateLog.serversChanged(before.servers(), catalog.servers(), "expiry");
         }
         ticks++;
         tellLoad();
         evidence.load().expire(now);
         if (ticks % TICKS_PER_MEMBERS == 1) {
-            membership.nextReceiver(now).ifPresent(receiver -> send(receiver, members(true)));
+            membership.nextGossipTarget(now).ifPresent(receiver -> send(receiver, members(true)));
             fleetSize = membership.fleetSize(now());
         }
         if (!isReading && schedule.isDue(membership.rank(now), membership.ageNanos(now), now)) {
@@ -192,9 +192,9 @@
     }
 
     private void received(InetSocketAddress sender, MeshMessage message) {
-        membership.heardFrom(sender, now());
+        membership.recordContact(sender, now());
         if (message instanceof MeshMessage.Members members) {
-            boolean hasNew = membership.heard(members.members(), now());
+            boolean hasNew = membership.merge(members.members(), now());
             fleetSize = membership.fleetSize(now());
             if (hasNew || members.wantsReply()) {
                 send(sender, new MeshMessage.Members(membership.nextEntries(hasNew, now()), false));
@@ -202,14 +202,14 @@
         } else if (message instanceof MeshMessage.Evidence outcome) {
             observe(outcome.serverKey(), outcome.observation(), sender.toString());
         } else if (message instanceof MeshMessage.Load load) {
-            evidence.heard(sender, load, now());
+            evidence.recordLoad(sender, load, now());
         } else if (message instanceof MeshMessage.CatalogNews news) {
             takeNews(news);
         }
     }
 
     private void takeNews(MeshMessage.CatalogNews news) {
-        configurationFetch.want(news.configurationRevision());
+        configurationFetch.announced(news.configurationRevision());
         long known = registered.revision();
         CatalogChange change = news.change();
         if (needsAll || !change.follows(known)) {
@@ -218,28 +218,28 @@
         if (known < news.revision()) {
             publish(change, "peer");
         }
-        schedule.confirmed(now() - TimeUnit.MILLISECONDS.toNanos(news.ageMillis()));
+        schedule.markCurrent(now() - TimeUnit.MILLISECONDS.toNanos(news.ageMillis()));
     }
 
     private void publish(CatalogChange change, String source) {
         Catalog before = catalog;
         ServerList servers = change.applyTo(registered);
-        grace.changed(registered, servers, isAfterOutage(), now());
+        grace.update(registered, servers, isAfterOutage(), now());
         registered = servers;
-        Catalog after = before.with(grace.inUse(servers));
+        Catalog after = before.with(grace.withRetained(servers));
         if (change.configuration().isPresent()) {
             after = after.with(change.configuration().get());
         }
         catalog = after;
-        stateLog.servers(before.servers(), after.servers(), source);
-        stateLog.configuration(before, after, source);
+        stateLog.serversChanged(before.servers(), after.servers(), source);
+        stateLog.configurationChanged(before, after, source);
         evidence.retain(after.servers());
     }
 
     private void takeConfiguration(FleetConfiguration configuration) {
         Catalog before = catalog;
         catalog = before.with(configuration);
-        stateLog.configuration(before, catalog, "announcement");
+        stateLog.configurationChanged(before, catalog, "announcement");
     }
 
     /** Asks another VM for everything, after the platform could not be read completely. */
@@ -259,14 +259,15 @@
         if (needsAll && snapshot.content().revision() >= registered.revision()) {
             needsAll = false;
             publish(snapshot.content(), "peer");
-            configurationFetch.want(snapshot.announcedConfiguration());
+            configurationFetch.announced(snapshot.announcedConfiguration());
         }
     }
 
     private Optional<Snapshot> snapshot() {
         return catalog.isServing()
                 ? Optional.of(new Snapshot(
-                        configurationFetch.wanted(), CatalogChange.complete(registered, catalog.configuration())))
+                        configurationFetch.newestAnnounced(),
+                        CatalogChange.complete(registered, catalog.configuration())))
                 : Optional.empty();
     }
 
@@ -289,7 +290,7 @@
     /** Takes the result of a reading of the platform. */
     private final class ReadingListener implements CatalogReader.Listener {
         @Override
-        public void read(CatalogChange change) {
+        public void readSucceeded(CatalogChange change) {
             isReading = false;
             needsAll = false;
             if (isPlatformLost) {
@@ -300,13 +301,13 @@
             if (change.follows(before.revision()) && change.revision() >= before.revision()) {
                 publish(change, "platform");
             }
-            schedule.succeeded();
-            schedule.confirmed(now());
+            schedule.readSucceeded();
+            schedule.markCurrent(now());
             tell(before, change);
         }
 
         @Override
-        public void failed(CatalogReader.Failure failure, String reason) {
+        public void readFailed(CatalogReader.Failure failure, String reason) {
             isReading = false;
             if (failure == CatalogReader.Failure.HISTORY_LOST) {
                 needsAll = true;
@@ -317,7 +318,7 @@
                 isPlatformLost = true;
                 log.important("platform-lost", Fields.of("reason", reason));
             }
-            schedule.failed(now());
+            schedule.readFailed(now());
             if (needsAll) {
                 askPeer();
             }
--- a/coppershelf/src/main/java/io/coppershelf/mesh/LoadReport.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/LoadReport.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns the message that is due, if any. */
-    Optional<MeshMessage.Load> due(long nowNanos) {
+    Optional<MeshMessage.Load> pollDue(long nowNanos) {
         if (nowNanos - repeatedNanos >= REPEAT_NANOS) {
             repeatedNanos = nowNanos;
             untold.addAll(inFlight.keySet());
--- a/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/Membership.java
@@ -61,7 +61,7 @@
      * @param entries the VM that speaks first, then others
      * @return whether a VM was heard of that was not known or counted as gone
      */
-    public boolean heard(List<MemberEntry> entries, long nowNanos) {
+    public boolean merge(List<MemberEntry> entries, long nowNanos) {
         boolean hasNew = false;
         for (int i = 0; i < entries.size(); i++) {
             MemberEntry entry = entries.get(i);
@@ -80,7 +80,7 @@
     }
 
     /** Takes any message as a sign of life of a VM that is known. */
-    public void heardFrom(InetSocketAddress sender, long nowNanos) {
+    public void recordContact(InetSocketAddress sender, long nowNanos) {
         Member known = members.get(sender);
         if (known != null && !known.isGone(nowNanos)) {
             members.put(sender, new Member(known.entry, nowNanos));
@@ -102,7 +102,7 @@
     }
 
     /** Returns the VM that hears the next message: a live one, or a seed while few are known. */
-    public Optional<InetSocketAddress> nextReceiver(long nowNanos) {
+    public Optional<InetSocketAddress> nextGossipTarget(long nowNanos) {
         List<InetSocketAddress> live = live(nowNanos);
         boolean asksSeed = !seeds.isEmpty() && (live.size() < seeds.size() || random.nextInt(8) == 0);
         List<InetSocketAddress> receivers = asksSeed ? seeds : live;
--- a/coppershelf/src/main/java/io/coppershelf/mesh/ReadingSchedule.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/ReadingSchedule.java
@@ -40,7 +40,7 @@
     }
 
     /** Notes that what is known was current at a time, by an own reading or by a peer's. */
-    public void confirmed(long atNanos) {
+    public void markCurrent(long atNanos) {
         if (!isConfirmed || atNanos - confirmedNanos > 0) {
             confirmedNanos = atNanos;
             isConfirmed = true;
@@ -49,12 +49,12 @@
     }
 
     /** Notes that a reading of this VM succeeded. */
-    public void succeeded() {
+    public void readSucceeded() {
         failures = 0;
     }
 
     /** Notes that a reading of this VM failed. */
-    public void failed(long nowNanos) {
+    public void readFailed(long nowNanos) {
         long pause = Math.min(LONGEST_PAUSE_NANOS, FIRST_PAUSE_NANOS << Math.min(failures, MAX_DOUBLINGS));
         failures++;
         notBeforeNanos = nowNanos + pause / 2 + (long) (random.nextDouble() * pause);
--- a/coppershelf/src/main/java/io/coppershelf/mesh/StateLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/mesh/StateLog.java
@@ -24,15 +24,15 @@
      *
      * @param source who made the observation
      */
-    void belief(
+    void estimateChanged(
             String serverKey,
             ServerBelief before,
             ServerBelief after,
             String source,
             Observation observation,
             long nowNanos) {
-        boolean isSuspect = after.isSuspect(nowNanos);
-        if (isSuspect == before.isSuspect(nowNanos)) {
+        boolean isSuspect = after.isSuspected(nowNanos);
+        if (isSuspect == before.isSuspected(nowNanos)) {
             return;
         }
         log.important(
@@ -45,11 +45,11 @@
                         "source",
                         source,
                         "sickness",
-                        after.sicknessAt(nowNanos)));
+                        after.unhealthyProbabilityAt(nowNanos)));
     }
 
     /** Tells which servers joined, left or changed, if any. */
-    void servers(ServerList before, ServerList after, String source) {
+    void serversChanged(ServerList before, ServerList after, String source) {
         List<String> changes = new ArrayList<>();
         for (BackendServer server : after.all()) {
             Optional<BackendServer> known = before.server(server.id());
@@ -72,7 +72,7 @@
     }
 
     /** Tells which configuration is in force, if that has changed. */
-    void configuration(Catalog before, Catalog after, String source) {
+    void configurationChanged(Catalog before, Catalog after, String source) {
         if (after.configuration().equals(before.configuration())) {
             return;
         }
--- a/coppershelf/src/main/java/io/coppershelf/operator/OperatorPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/OperatorPart.java
@@ -56,7 +56,7 @@
         Optional<FleetView.Source> fleet = registry.find(FleetView.Source.NAME);
         if (configurations.isPresent() && fleet.isPresent()) {
             FleetStatus status = new FleetStatus(configurations.get(), fleet.get());
-            pages.ifPresent(shown -> shown.showFleet(status));
+            pages.ifPresent(shown -> shown.setFleet(status));
         }
         server.ifPresent(OperatorServer::start);
         logger.atInfo().log("[operator] Answers on port %d.", port());
--- a/coppershelf/src/main/java/io/coppershelf/operator/internal/StatusPages.java
+++ b/coppershelf/src/main/java/io/coppershelf/operator/internal/StatusPages.java
@@ -28,7 +28,7 @@
     }
 
     /** Adds what is known of the fleet. */
-    public void showFleet(FleetStatus status) {
+    public void setFleet(FleetStatus status) {
         fleet = Optional.of(status);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Connection.java
@@ -68,7 +68,7 @@
         return remote;
     }
 
-    void introduce(Vm vm) {
+    void setRemote(Vm vm) {
         remote = Optional.of(vm);
     }
 
@@ -84,7 +84,7 @@
         return !channel.map(SocketChannel::isConnected).orElse(false);
     }
 
-    boolean isUnanswered() {
+    boolean isHandshakePending() {
         return remote.isEmpty();
     }
 
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void ready(SelectionKey key) throws IOException {
+    public void onReady(SelectionKey key) throws IOException {
         if (key.isConnectable() && channel.orElseThrow().finishConnect()) {
             key.interestOps(SelectionKey.OP_READ);
             flush();
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void failed() {
+    public void onFailure() {
         close();
     }
 
@@ -202,7 +202,7 @@
         synchronized (queue) {
             for (Outbound next = queue.pollFirst(); next != null; next = queue.pollFirst()) {
                 queuedBytes -= next.frame().remaining();
-                if (next.begin(System.nanoTime())) {
+                if (next.beginWrite(System.nanoTime())) {
                     events.sent(next.frame().remaining());
                     return Optional.of(next.frame());
                 }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/ConnectionPool.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/ConnectionPool.java
@@ -62,7 +62,7 @@
         connection.target().ifPresent(target -> {
             Link link = Link.to(target);
             outgoing.remove(link, connection);
-            if (connection.isUnanswered()) {
+            if (connection.isHandshakePending()) {
                 failedNanos.put(link, System.nanoTime());
             }
         });
@@ -112,7 +112,7 @@
         if (connection.isConnecting() && nowNanos - connection.openedNanos() >= CONNECT_TIMEOUT_NANOS) {
             return true;
         }
-        if (connection.isUnanswered() && nowNanos - connection.openedNanos() >= HELLO_TIMEOUT_NANOS) {
+        if (connection.isHandshakePending() && nowNanos - connection.openedNanos() >= HELLO_TIMEOUT_NANOS) {
             return true;
         }
         if (connection.remote().filter(isReplaced).isPresent()) {
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/NioPeerExchange.java
@@ -59,7 +59,7 @@
         pool = new ConnectionPool(this::open, this::isReplaced);
         loop = new SelectorLoop(openSelector(), () -> pool.sweep(System.nanoTime()), pool::isBusy);
         receiver = new Receiver(codecs, fleet, filter, metrics, traffic, clock);
-        metrics.showConnections(registry, pool::size);
+        metrics.registerConnectionGauge(registry, pool::size);
         codecs.add(Hello.CODEC, Optional.empty());
     }
 
@@ -198,7 +198,7 @@
     private final class ConnectionEvents implements Connection.Events {
         @Override
         public int frameLimit(Connection connection) {
-            if (connection.isUnanswered()) {
+            if (connection.isHandshakePending()) {
                 return HELLO_FRAME_BYTES;
             }
             boolean isTrusted = connection.target().isPresent()
@@ -209,13 +209,13 @@
         @Override
         public void received(Connection connection, byte[] frame) {
             metrics.received(frame.length);
-            if (!connection.isUnanswered()) {
+            if (!connection.isHandshakePending()) {
                 receiver.receive(connection, frame);
                 return;
             }
             Optional<Hello> hello = receiver.readHello(connection, frame);
             hello.ifPresent(accepted -> {
-                connection.introduce(accepted.sender());
+                connection.setRemote(accepted.sender());
                 if (connection.target().isEmpty()) {
                     connection.offer(
                             helloTo(accepted.sender().id(), accepted.sender().incarnation()));
@@ -253,14 +253,14 @@
         }
 
         @Override
-        public void ready(SelectionKey key) throws IOException {
+        public void onReady(SelectionKey key) throws IOException {
             for (SocketChannel taken = channel.accept(); taken != null; taken = channel.accept()) {
                 pool.add(Connection.incoming(loop, events(), taken));
             }
         }
 
         @Override
-        public void failed() {
+        public void onFailure() {
             logger.atWarning().atMostEvery(1, TimeUnit.MINUTES).log("[peer] Could not accept a connection.");
         }
     }
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/Outbound.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/Outbound.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * A frame on its way out. Whether a byte of it may have left is decided once: by {@link #begin} right before its first
- * write, or by {@link #fail}, whichever is first.
+ * A frame on its way out. Whether a byte of it may have left is decided once: by {@link #beginWrite} right before its
+ * first write, or by {@link #fail}, whichever is first.
  */
 final class Outbound {
     private enum State {
@@ -69,7 +69,7 @@
     }
 
     /** Returns whether the frame is to be written now; no later failure of it counts as not sent. */
-    boolean begin(long nowNanos) {
+    boolean beginWrite(long nowNanos) {
         if (isExpired(nowNanos)) {
             fail();
             return false;
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/PeerMetrics.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/PeerMetrics.java
@@ -38,7 +38,7 @@
                 .register(registry);
     }
 
-    void showConnections(PrometheusRegistry registry, IntSupplier count) {
+    void registerConnectionGauge(PrometheusRegistry registry, IntSupplier count) {
         GaugeWithCallback.builder()
                 .name("coppershelf_peer_connections")
                 .help("Open connections to and from peers.")
--- a/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
+++ b/coppershelf/src/main/java/io/coppershelf/peer/internal/SelectorLoop.java
@@ -104,18 +104,18 @@
     private static void handle(SelectionKey key) {
         Ready ready = (Ready) key.attachment();
         try {
-            ready.ready(key);
+            ready.onReady(key);
         } catch (IOException | CancelledKeyException e) {
-            ready.failed();
+            ready.onFailure();
         }
     }
 
     /** What waits for a channel; called on the thread of the loop. */
     interface Ready {
         /** Uses the channel as far as it is ready. */
-        void ready(SelectionKey key) throws IOException;
+        void onReady(SelectionKey key) throws IOException;
 
         /** Closes the channel after a failure. */
-        void failed();
+        void onFailure();
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/proxy/BodyMemory.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/BodyMemory.java
@@ -10,7 +10,7 @@
     }
 
     /** Takes memory for some bytes; returns whether there was enough. */
-    boolean tryTake(int bytes) {
+    boolean tryReserve(int bytes) {
         if (usedBytes + bytes > limitBytes) {
             return false;
         }
--- a/coppershelf/src/main/java/io/coppershelf/proxy/CallerConnection.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/CallerConnection.java
@@ -102,7 +102,7 @@
                 refuse(ErrorKind.BODY_TOO_LARGE, "the body exceeds " + limits.bodyBytes() + " bytes");
                 return;
             }
-            if (!context.bodies().tryTake(content.content().readableBytes())) {
+            if (!context.bodies().tryReserve(content.content().readableBytes())) {
                 refuse(ErrorKind.OVERLOADED, "no memory is free for the body");
                 return;
             }
@@ -163,12 +163,12 @@
         CallerRequest request = waiting.remove();
         channel.config().setAutoRead(!isReadingStopped);
         Sink sink = new Sink(request);
-        Optional<Route> route = gate.route(request, sink);
+        Optional<Route> route = gate.resolve(request, sink);
         if (route.isEmpty()) {
             return;
         }
         RequestRun created = new RequestRun(
-                context, route.get(), context.split().next(route.get()), request, gate.callerWaits(request), sink);
+                context, route.get(), context.split().next(route.get()), request, gate.callerTimeout(request), sink);
         run = Optional.of(created);
         created.start();
     }
@@ -247,7 +247,7 @@
         isClosing = true;
         cancelHeadTimer();
         idleTimer.ifPresent(scheduled -> scheduled.cancel(false));
-        run.ifPresent(RequestRun::callerLeft);
+        run.ifPresent(RequestRun::callerDisconnected);
         releaseBodies();
         run = Optional.empty();
         waiting.clear();
--- a/coppershelf/src/main/java/io/coppershelf/proxy/EndToEndHeaders.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/EndToEndHeaders.java
@@ -27,7 +27,7 @@
         for (String name : names) {
             String lowerCaseName = name.toLowerCase(Locale.ROOT);
             // A server tells its routes apart by the host that the caller asked for.
-            if (HeaderRules.isPerHop(lowerCaseName) && !lowerCaseName.equals(HOST)) {
+            if (HeaderRules.isHopByHop(lowerCaseName) && !lowerCaseName.equals(HOST)) {
                 headers.remove(name);
             }
         }
@@ -35,7 +35,7 @@
     }
 
     /** Returns whether a message with these headers has a body, if only an empty one. */
-    static boolean announcesBody(HttpHeaders received) {
+    static boolean declaresBody(HttpHeaders received) {
         return received.contains(HttpHeaderNames.CONTENT_LENGTH)
                 || received.contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
--- a/coppershelf/src/main/java/io/coppershelf/proxy/RequestRun.java
+++ b/coppershelf/src/main/java/io/coppershelf/proxy/RequestRun.java
@@ -78,14 +78,14 @@
 
     /** Sends the request for the first time. */
     void start() {
-        context.metrics().begun();
+        context.metrics().requestStarted();
         long now = System.nanoTime();
         context.budget().countRequest(service, now);
         carryOut(plan.start(now));
     }
 
     /** The caller has left: work that may be repeated is stopped, other work is left to finish. */
-    void callerLeft() {
+    void callerDisconnected() {
         if (isEnded) {
             return;
         }
@@ -105,13 +105,13 @@
     }
 
     @Override
-    public boolean mayRepeat() {
-        return context.budget().mayRepeat(service, context.state().fleetSize(), System.nanoTime());
+    public boolean canRetry() {
+        return context.budget().canAcquire(service, context.state().fleetSize(), System.nanoTime());
     }
 
     @Override
-    public boolean takeRepeat() {
-        return context.budget().tryRepeat(service, context.state().fleetSize(), System.nanoTime());
+    public boolean tryAcquireRetry() {
+        return context.budget().tryAcquire(service, context.state().fleetSize(), System.nanoTime());
     }
 
     @Override
@@ -156,8 +156,8 @@
     private void schedule() {
         timer.ifPresent(scheduled -> scheduled.cancel(false));
         long delay = Math.max(0, plan.nextTimer(System.nanoTime()) - System.nanoTime());
-        timer = Optional.of(
-                context.loop().schedule(() -> carryOut(plan.timer(System.nanoTime())), delay, TimeUnit.NANOSECONDS));
+        timer = Optional.of(context.loop()
+                .schedule(() -> carryOut(plan.timerExpired(System.nanoTime())), delay, TimeUnit.NANOSECONDS));
     }
 
     private void send(Step.Send send) {
@@ -165,7 +165,8 @@
         attempts.add(attempt);
         long maxIdle = route.kind() == RequestKind.ONCE ? ONCE_IDLE_NANOS : Long.MAX_VALUE;
         context.pool()
-                .acquire(send.server(), maxIdle, maxConnections(), link -> write(attempt, link), attempt::notConnected);
+                .acquire(
+                        send.server(), maxIdle, maxConnections(), link -> write(attempt, link), attempt::connectFailed);
     }
 
     /** Returns this VM's share of the connections that a server accepts. */
@@ -191,7 +192,7 @@
             attempt.notSent(isDrained ? "the server is leaving" : "no time is left");
             return;
         }
-        attempt.sending(link);
+        attempt.connected(link);
         DefaultFullHttpRequest outgoing = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 request.method(),
@@ -206,7 +207,7 @@
         HttpHeaders headers = EndToEndHeaders.copy(request.headers());
         headers.set(context.names().deadlineMillis(), Long.toString(leftMillis));
         headers.set(context.names().targetServer(), server.id());
-        if (request.body().length > 0 || EndToEndHeaders.announcesBody(request.headers())) {
+        if (request.body().length > 0 || EndToEndHeaders.declaresBody(request.headers())) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(request.body().length));
         }
         return headers;
@@ -239,8 +240,8 @@
 
     private void finished(String outcome, String reason, boolean isRoutine) {
         long tookNanos = System.nanoTime() - request.readAtNanos();
-        context.metrics().ended();
-        context.metrics().request(outcome, tookNanos);
+        context.metrics().requestEnded();
+        context.metrics().recordRequest(outcome, tookNanos);
         Map<String, Object> fields = Fields.of(
                 "request", requestId,
                 "route", route.name(),
