--- a/bench/src/main/java/io/coppershelf/bench/decisions/EntryVms.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/EntryVms.java
@@ -21,13 +21,13 @@
     private static final long WAIT_AFTER_REFUSAL = Units.SECONDS;
     private static final long WAIT_WITHOUT_FREE_SLOT = Units.MILLIS;
 
-    private final ServiceWorld world;
+    private final ServiceSimulation world;
     private final RandomGenerator arrivals;
     private final RandomGenerator random;
     private final List<Entry> entries = new ArrayList<>();
     private final List<BenchRequest> requests = new ArrayList<>();
 
-    EntryVms(ServiceWorld world) {
+    EntryVms(ServiceSimulation world) {
         this.world = world;
         this.arrivals = world.spec().random(Stream.ARRIVALS);
         this.random = world.spec().random(Stream.ENTRIES);
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Experiment.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/Experiment.java
@@ -37,7 +37,7 @@
 
     private Row measure(Cell cell) {
         RunResult sum = new RunResult();
-        cell.specs().parallelStream().map(ServiceWorld::run).toList().forEach(sum::add);
+        cell.specs().parallelStream().map(ServiceSimulation::run).toList().forEach(sum::add);
         return new Row(name, cell.customer(), cell.fault(), cell.load(), cell.policy(), sum);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/FaultPlan.java
@@ -31,7 +31,7 @@
     private final long endNanos;
     private final Map<String, SpeedTimeline> speeds = new HashMap<>();
     private final Set<String> targets = new HashSet<>();
-    private final List<SickSpan> sickSpans = new ArrayList<>();
+    private final List<FaultPlan.UnhealthySpan> sickSpans = new ArrayList<>();
 
     /**
      * A span in which a server is sick.
@@ -40,7 +40,7 @@
      * @param fromNanos its begin
      * @param untilNanos its end
      */
-    record SickSpan(String server, long fromNanos, long untilNanos) {}
+    record UnhealthySpan(String server, long fromNanos, long untilNanos) {}
 
     FaultPlan(Fault fault, ServiceProfile service, long endNanos, RandomGenerator random) {
         this.fault = fault;
@@ -98,7 +98,7 @@
 
     private void sick(String server, long from, long until) {
         targets.add(server);
-        sickSpans.add(new SickSpan(server, from, Math.min(until, endNanos)));
+        sickSpans.add(new FaultPlan.UnhealthySpan(server, from, Math.min(until, endNanos)));
     }
 
     /** Returns the fault. */
@@ -112,7 +112,7 @@
     }
 
     /** Returns the spans in which servers are sick. */
-    List<SickSpan> unhealthySpans() {
+    List<FaultPlan.UnhealthySpan> unhealthySpans() {
         return sickSpans;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/GroupHost.java
@@ -1,25 +1,19 @@
 package io.coppershelf.bench.decisions;
 
 import io.coppershelf.admission.GroupAction;
-import io.coppershelf.admission.GroupAction.AskEjection;
-import io.coppershelf.admission.GroupAction.AskReachability;
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.ConditionChanged;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Probe;
 import io.coppershelf.admission.GroupAction.Refuse;
 import io.coppershelf.admission.GroupAction.ReleaseEjection;
-import io.coppershelf.admission.GroupAction.ShareBaseline;
 import io.coppershelf.admission.GroupEvent;
-import io.coppershelf.admission.GroupEvent.BaselineHeard;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.EjectionRefused;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
-import io.coppershelf.admission.GroupEvent.ReachabilityHeard;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.Tick;
-import io.coppershelf.admission.GroupEvent.TryEnded;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.admission.ServerGroupDecisions;
 import io.coppershelf.backend.BackendResult.ServerState;
@@ -44,11 +38,11 @@
 
     private final int index;
     private final ServerGroupDecisions decisions;
-    private final ServiceWorld world;
+    private final ServiceSimulation world;
     private final Map<String, Attempt> open = new HashMap<>();
     private final Map<String, String> serverByTry = new HashMap<>();
 
-    GroupHost(int index, ServerGroupDecisions decisions, ServiceWorld world) {
+    GroupHost(int index, ServerGroupDecisions decisions, ServiceSimulation world) {
         this.index = index;
         this.decisions = decisions;
         this.world = world;
@@ -104,16 +98,16 @@
             reply(refuse.tryId(), Reply.notRun());
         } else if (action instanceof CancelOnServer cancel) {
             cancel(cancel);
-        } else if (action instanceof AskEjection ask) {
+        } else if (action instanceof GroupAction.RequestEjection ask) {
             world.time().after(TO_GRANTER, () -> askFloor(ask.server()));
         } else if (action instanceof ReleaseEjection release) {
             world.floor().release(release.server());
         } else if (action instanceof Probe probe) {
             probe(probe.server());
-        } else if (action instanceof AskReachability ask) {
-            world.time().after(TO_GRANTER, () -> deliver(new ReachabilityHeard(ask.server(), true)));
-        } else if (action instanceof ShareBaseline share) {
-            world.shareBaseline(index, new BaselineHeard("host-" + index, share.usualNanos()));
+        } else if (action instanceof GroupAction.QueryReachability ask) {
+            world.time().after(TO_GRANTER, () -> deliver(new GroupEvent.ReachabilityReported(ask.server(), true)));
+        } else if (action instanceof GroupAction.ShareServiceTimes share) {
+            world.shareBaseline(index, new GroupEvent.ServiceTimesReceived("host-" + index, share.usualNanos()));
         } else if (action instanceof ConditionChanged changed) {
             world.conditionChanged(changed);
         }
@@ -171,7 +165,7 @@
         answer.error()
                 .filter(error -> error == ErrorKind.SERVER_REFUSED)
                 .ifPresent(error -> world.recorder().recordShed());
-        deliver(new TryEnded(tryId, answer.status(), answer.error(), answer.state()));
+        deliver(new GroupEvent.AttemptEnded(tryId, answer.status(), answer.error(), answer.state()));
         reply(tryId, replyTo(answer));
     }
 
@@ -206,7 +200,7 @@
     }
 
     /** Takes in the usual times of another host. */
-    void receiveServiceTimes(BaselineHeard heard) {
+    void receiveServiceTimes(GroupEvent.ServiceTimesReceived heard) {
         deliver(heard);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseBroker.java
@@ -1,6 +1,6 @@
 package io.coppershelf.bench.decisions;
 
-import io.coppershelf.bench.decisions.LeaseWorld.Lease;
+import io.coppershelf.bench.decisions.LeaseSimulation.Lease;
 import io.coppershelf.ticket.ServerSpec;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/LeaseWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/LeaseSimulation.java
@@ -13,7 +13,7 @@
 import java.util.random.RandomGenerator;
 
 /** The way by leases: owners lend slots to entry VMs, which send to the servers themselves. */
-final class LeaseWorld {
+final class LeaseSimulation {
     /** How long an entry VM keeps an idle lease that nobody else waits for. */
     private static final long LINGER = 20 * Units.MILLIS;
 
@@ -21,7 +21,7 @@
 
     private final RunSpec spec;
     private final VirtualTime time = new VirtualTime();
-    private final Ledger ledger;
+    private final RunRecorder ledger;
     private final Map<String, FakeServer> servers = new TreeMap<>();
     private final List<LeaseBroker> brokers = new ArrayList<>();
     private final List<Deque<Lease>> idleByVm = new ArrayList<>();
@@ -29,10 +29,10 @@
     private final RandomGenerator arrivals;
     private final RandomGenerator random;
 
-    private LeaseWorld(RunSpec spec) {
+    private LeaseSimulation(RunSpec spec) {
         this.spec = spec;
         FaultPlan plan = new FaultPlan(spec.fault(), spec.service(), spec.endNanos(), spec.random(Stream.PLAN));
-        this.ledger = new Ledger(spec, plan);
+        this.ledger = new RunRecorder(spec, plan);
         this.arrivals = spec.random(Stream.ARRIVALS);
         this.random = spec.random(Stream.ENTRIES);
         RandomGenerator serverRandom = spec.random(Stream.SERVERS);
@@ -50,7 +50,7 @@
 
     /** Runs the service to its end and returns the figures. */
     static RunResult run(RunSpec spec) {
-        LeaseWorld world = new LeaseWorld(spec);
+        LeaseSimulation world = new LeaseSimulation(spec);
         world.time.after(world.nextGap(), world::arrive);
         world.time.runUntil(spec.endNanos() + DRAIN_OUT);
         world.requests.forEach(world.ledger::recordFinalState);
--- a/bench/src/main/java/io/coppershelf/bench/decisions/Ledger.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/RunRecorder.java
@@ -1,6 +1,5 @@
 package io.coppershelf.bench.decisions;
 
-import io.coppershelf.bench.decisions.FaultPlan.SickSpan;
 import io.coppershelf.health.ServerCondition;
 import io.coppershelf.ticket.ServerSpec;
 import java.util.ArrayList;
@@ -12,19 +11,19 @@
 import java.util.Set;
 
 /** Keeps the truth of a run and works out its figures. */
-final class Ledger {
+final class RunRecorder {
     /** An ejection so soon after a sickness is no false one. */
     private static final long LOOK_BACK = 3 * Units.SECONDS;
 
     private final RunSpec spec;
     private final FaultPlan plan;
     private final RunResult result = new RunResult();
-    private final Map<SickSpan, Long> lastDispatch = new HashMap<>();
+    private final Map<FaultPlan.UnhealthySpan, Long> lastDispatch = new HashMap<>();
     private final Map<String, Double> offeredWork = new HashMap<>();
     private final Set<String> ejected = new HashSet<>();
     private final Set<String> otherwiseOut = new HashSet<>();
 
-    Ledger(RunSpec spec, FaultPlan plan) {
+    RunRecorder(RunSpec spec, FaultPlan plan) {
         this.spec = spec;
         this.plan = plan;
         plan.unhealthySpans().forEach(span -> lastDispatch.put(span, span.fromNanos()));
@@ -49,7 +48,7 @@
         if (condition == ServerCondition.PROBATION) {
             return;
         }
-        for (SickSpan span : plan.unhealthySpans()) {
+        for (FaultPlan.UnhealthySpan span : plan.unhealthySpans()) {
             if (span.server().equals(server) && nowNanos >= span.fromNanos() && nowNanos < span.untilNanos()) {
                 lastDispatch.put(span, nowNanos);
             }
--- a/bench/src/main/java/io/coppershelf/bench/decisions/ServiceWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/ServiceSimulation.java
@@ -1,7 +1,7 @@
 package io.coppershelf.bench.decisions;
 
 import io.coppershelf.admission.GroupAction.ConditionChanged;
-import io.coppershelf.admission.GroupEvent.BaselineHeard;
+import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.bench.decisions.RunSpec.Stream;
@@ -17,24 +17,24 @@
 import java.util.random.RandomGenerator;
 
 /** One service in virtual time: its servers, the hosts that decide for them, and the entry VMs. */
-final class ServiceWorld {
+final class ServiceSimulation {
     private static final long REPORT_INTERVAL = Units.SECONDS;
     private static final long DRAIN_OUT = 15 * Units.SECONDS;
 
     private final RunSpec spec;
     private final VirtualTime time = new VirtualTime();
     private final FaultPlan plan;
-    private final Ledger ledger;
+    private final RunRecorder ledger;
     private final FloorCounter floor;
     private final Map<String, FakeServer> servers = new TreeMap<>();
     private final Map<String, Integer> reportedLoads = new TreeMap<>();
     private final List<GroupHost> hosts = new ArrayList<>();
     private final EntryVms entries;
 
-    private ServiceWorld(RunSpec spec) {
+    private ServiceSimulation(RunSpec spec) {
         this.spec = spec;
         this.plan = new FaultPlan(spec.fault(), spec.service(), spec.endNanos(), spec.random(Stream.PLAN));
-        this.ledger = new Ledger(spec, plan);
+        this.ledger = new RunRecorder(spec, plan);
         this.floor = new FloorCounter(spec.service().servers(), spec.service().floor());
         RandomGenerator serverRandom = spec.random(Stream.SERVERS);
         for (ServerSpec server : spec.service().serverSpecs()) {
@@ -47,9 +47,9 @@
     /** Runs the service to its end and returns the figures. */
     static RunResult run(RunSpec spec) {
         if (spec.policy().layout() == Layout.LEASES) {
-            return LeaseWorld.run(spec);
+            return LeaseSimulation.run(spec);
         }
-        ServiceWorld world = new ServiceWorld(spec);
+        ServiceSimulation world = new ServiceSimulation(spec);
         world.startHosts();
         world.reportLoads();
         world.entries.start();
@@ -101,7 +101,7 @@
     }
 
     /** Tells the usual times of one host to the others. */
-    void shareBaseline(int sender, BaselineHeard heard) {
+    void shareBaseline(int sender, GroupEvent.ServiceTimesReceived heard) {
         for (int index = 0; index < hosts.size(); index++) {
             GroupHost host = hosts.get(index);
             if (index != sender) {
@@ -143,7 +143,7 @@
         return plan;
     }
 
-    Ledger recorder() {
+    RunRecorder recorder() {
         return ledger;
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/BaselineGroup.java
@@ -10,7 +10,6 @@
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.Tick;
-import io.coppershelf.admission.GroupEvent.TryEnded;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
 import io.coppershelf.admission.ServerGroupDecisions;
@@ -68,7 +67,7 @@
             configured.servers().forEach(server -> servers.put(server.name(), server));
         } else if (event instanceof RequestArrived request) {
             queue.add(request);
-        } else if (event instanceof TryEnded ended) {
+        } else if (event instanceof GroupEvent.AttemptEnded ended) {
             end(ended, nowNanos);
         } else if (event instanceof ProbeEnded probe) {
             detector.probed(probe.server(), probe.state().isPresent());
@@ -80,7 +79,7 @@
         return actions;
     }
 
-    private void end(TryEnded ended, long nowNanos) {
+    private void end(GroupEvent.AttemptEnded ended, long nowNanos) {
         String server = serverByTry.remove(ended.tryId());
         if (server == null) {
             return;
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/ConsecutiveErrors.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/ConsecutiveErrors.java
@@ -11,7 +11,7 @@
     private static final int ERRORS = 5;
 
     private final Map<String, Integer> errors = new HashMap<>();
-    private final Holds holds = new Holds();
+    private final TimedEjections holds = new TimedEjections();
 
     @Override
     public void ended(String server, boolean failed, long nowNanos) {
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/SuccessRateOutliers.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/SuccessRateOutliers.java
@@ -17,7 +17,7 @@
     private static final int LEAST_TRIES = 5;
 
     private final Map<String, Count> counts = new HashMap<>();
-    private final Holds holds = new Holds();
+    private final TimedEjections holds = new TimedEjections();
     private long windowNanos;
 
     @Override
--- a/bench/src/main/java/io/coppershelf/bench/decisions/baseline/Holds.java
+++ b/bench/src/main/java/io/coppershelf/bench/decisions/baseline/TimedEjections.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 
 /** Ejections for a time that grows with their number; at most half of the servers at once. */
-final class Holds {
+final class TimedEjections {
     private static final long BASE_NANOS = Duration.ofSeconds(30).toNanos();
 
     private final Map<String, Long> untilNanos = new HashMap<>();
--- a/bench/src/main/java/io/coppershelf/bench/demo/Demonstration.java
+++ b/bench/src/main/java/io/coppershelf/bench/demo/Demonstration.java
@@ -7,9 +7,9 @@
 import io.coppershelf.bench.fleet.TicketEdits;
 import io.coppershelf.bench.fleet.TicketFile;
 import io.coppershelf.bench.load.CallResult;
+import io.coppershelf.bench.load.ConsistencyReport;
 import io.coppershelf.bench.load.LoadGenerator;
 import io.coppershelf.bench.load.LoadPlan;
-import io.coppershelf.bench.load.TruthReport;
 import io.coppershelf.ticket.RouteSpec;
 import io.coppershelf.ticket.ServerSpec;
 import java.io.IOException;
@@ -103,22 +103,22 @@
         backends.switchOn(server.name(), ServerFault.STALL, "");
         List<CallResult> results = calls.join();
         backends.switchOff(server.name());
-        TruthReport truth = truth(results);
+        ConsistencyReport truth = truth(results);
         print(truth);
         return truth.isConsistent();
     }
 
     private boolean report(List<CallResult> results) throws IOException, InterruptedException {
-        TruthReport truth = truth(results);
+        ConsistencyReport truth = truth(results);
         print(truth);
         return truth.isConsistent() && truth.inTimeShare() == 1.0;
     }
 
-    private TruthReport truth(List<CallResult> results) throws IOException, InterruptedException {
-        return TruthReport.of(results, backends.executions());
+    private ConsistencyReport truth(List<CallResult> results) throws IOException, InterruptedException {
+        return ConsistencyReport.of(results, backends.executions());
     }
 
-    private static void print(TruthReport truth) {
+    private static void print(ConsistencyReport truth) {
         System.out.printf(
                 Locale.ROOT,
                 "%d calls, %.2f%% in time by weight, executed twice %d, not run yet run %d, foreign or partial %d,"
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
@@ -6,9 +6,9 @@
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import io.coppershelf.bench.backend.BackendAdmin;
 import io.coppershelf.bench.load.CallResult;
+import io.coppershelf.bench.load.ConsistencyReport;
 import io.coppershelf.bench.load.LoadGenerator;
 import io.coppershelf.bench.load.LoadPlan;
-import io.coppershelf.bench.load.TruthReport;
 import io.coppershelf.ticket.ServerSpec;
 import io.coppershelf.ticket.ServiceSpec;
 import java.nio.file.Path;
@@ -78,7 +78,7 @@
         ArrivalLog arrivals = new ArrivalLog(backends, target.name());
         arrivals.sample(Duration.ofSeconds(seconds));
         backends.switchOff(target.name());
-        FleetRow.Truths truths = truth(calls, backends, service);
+        FleetRow.Reports truths = truth(calls, backends, service);
         EjectionLog ejections = EjectionLog.read(AddressList.parse(operators));
         FleetRow result = new FleetRow(
                 customer,
@@ -97,7 +97,7 @@
         return result.areGuaranteesKept();
     }
 
-    private FleetRow.Truths truth(
+    private FleetRow.Reports truth(
             List<CompletableFuture<List<CallResult>>> calls, BackendAdmin backends, ServiceSpec service)
             throws Exception {
         List<CallResult> all = new ArrayList<>();
@@ -110,10 +110,10 @@
                 .filter(call -> call.route().service().equals(service.name()))
                 .toList();
         var executions = backends.executions();
-        return new FleetRow.Truths(
-                TruthReport.of(all, executions),
-                TruthReport.of(afterFault, executions),
-                TruthReport.of(ofService, executions),
+        return new FleetRow.Reports(
+                ConsistencyReport.of(all, executions),
+                ConsistencyReport.of(afterFault, executions),
+                ConsistencyReport.of(ofService, executions),
                 RefusalSummary.of(afterFault));
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.coppershelf.bench.load.TruthReport;
+import io.coppershelf.bench.load.ConsistencyReport;
 import io.coppershelf.ticket.ServiceSpec;
 import java.time.Duration;
 import java.util.List;
@@ -21,7 +21,7 @@
     private final Optional<Duration> workEnded;
     private final boolean sick;
     private final Optional<Duration> suspected;
-    private final Truths truths;
+    private final FleetRow.Reports truths;
     private final EjectionLog ejections;
     private final String target;
     private final Duration observed;
@@ -35,7 +35,7 @@
             Optional<Duration> workEnded,
             boolean sick,
             Optional<Duration> suspected,
-            Truths truths,
+            FleetRow.Reports truths,
             EjectionLog ejections,
             String target,
             Duration observed,
@@ -62,7 +62,11 @@
      * @param ofService from the onset of the fault, for the service of the faulty server
      * @param refusals the errors from the onset of the fault
      */
-    record Truths(TruthReport whole, TruthReport afterFault, TruthReport ofService, RefusalSummary refusals) {}
+    record Reports(
+            ConsistencyReport whole,
+            ConsistencyReport afterFault,
+            ConsistencyReport ofService,
+            RefusalSummary refusals) {}
 
     /** Returns whether every promise was kept in the run. */
     boolean areGuaranteesKept() {
--- a/bench/src/main/java/io/coppershelf/bench/load/TruthReport.java
+++ b/bench/src/main/java/io/coppershelf/bench/load/ConsistencyReport.java
@@ -14,7 +14,7 @@
  * @param foreignOrPartial answers with status 200 that were not the caller's own whole answer
  * @param unanswered calls without any answer
  */
-public record TruthReport(
+public record ConsistencyReport(
         int calls,
         double inTimeShare,
         long executedTwice,
@@ -23,14 +23,14 @@
         long foreignOrPartial,
         long unanswered) {
     /** Returns the report over the results of a run. */
-    public static TruthReport of(List<CallResult> results, Map<String, Integer> executions) {
+    public static ConsistencyReport of(List<CallResult> results, Map<String, Integer> executions) {
         double weight =
                 results.stream().mapToInt(result -> result.route().weight()).sum();
         double inTime = results.stream()
                 .filter(CallResult::isInTime)
                 .mapToInt(result -> result.route().weight())
                 .sum();
-        return new TruthReport(
+        return new ConsistencyReport(
                 results.size(),
                 weight == 0 ? 1 : inTime / weight,
                 results.stream()
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EjectionWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EjectionSimulation.java
@@ -1,7 +1,7 @@
 package io.coppershelf.bench.matrix;
 
 import io.coppershelf.floor.internal.FloorAction;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
+import io.coppershelf.floor.internal.FloorMessage;
 import io.coppershelf.floor.internal.FloorNode;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.membership.internal.FleetSnapshot;
@@ -20,7 +20,7 @@
 import java.util.stream.IntStream;
 
 /** Seven VMs that each want to eject a server of their own; the fault strikes while a right is asked for. */
-final class EjectionWorld {
+final class EjectionSimulation {
     static final int SERVERS = 7;
     static final int FLOOR = 5;
     private static final int VMS = 7;
@@ -39,7 +39,7 @@
     private boolean armed;
     private int mostOut;
 
-    EjectionWorld(Fault fault) {
+    EjectionSimulation(Fault fault) {
         this.fault = fault;
         configuration.apply(ticket(1, FLOOR, 0));
         ids.forEach(this::start);
@@ -120,7 +120,7 @@
 
     /** Strikes the VM that is asked for a right. */
     private void strikeAt(FloorAction.Send send) {
-        if (!armed || !(send.message() instanceof RightRequest)) {
+        if (!armed || !(send.message() instanceof FloorMessage.GrantRequest)) {
             return;
         }
         armed = false;
--- a/bench/src/main/java/io/coppershelf/bench/matrix/EntryAttempt.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/EntryAttempt.java
@@ -1,21 +1,21 @@
 package io.coppershelf.bench.matrix;
 
+import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.TryResult;
-import io.coppershelf.claim.Claims.Verdict;
-import io.coppershelf.claim.internal.AttemptStatus;
+import io.coppershelf.claim.Claims;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimCompletion;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimRequest;
 import io.coppershelf.claim.internal.ClaimRound;
-import io.coppershelf.claim.internal.HolderAnswer;
+import io.coppershelf.claim.internal.ClaimStatus;
+import io.coppershelf.claim.internal.HolderDecision;
 import io.coppershelf.claim.internal.RequestDigest;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.RequestResult;
+import io.coppershelf.routing.internal.AttemptPolicy;
 import io.coppershelf.routing.internal.RequestAction;
 import io.coppershelf.routing.internal.RequestDecisions;
 import io.coppershelf.routing.internal.RequestEvent;
-import io.coppershelf.routing.internal.TryPolicy;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
@@ -23,7 +23,7 @@
 import java.util.Set;
 
 /** One attempt of a caller at one entry VM: the real decisions on claim and tries, driven in virtual time. */
-final class EntryAttempt implements TryPolicy {
+final class EntryAttempt implements AttemptPolicy {
     static final Duration DEADLINE = Duration.ofSeconds(2);
     private static final Duration GIVE_UP_BEFORE = Duration.ofMillis(200);
     private static final Duration LOSS_NOTICED_AFTER = Duration.ofMillis(300);
@@ -34,7 +34,7 @@
 
     private final String id;
     private final String vm;
-    private final RequestWorld world;
+    private final RequestSimulation world;
     private final VirtualNetwork network;
     private final RequestDecisions decisions = new RequestDecisions(false, this);
     private final Set<Integer> ended = new HashSet<>();
@@ -43,12 +43,12 @@
     private long toldNanos;
     private long startNanos;
 
-    EntryAttempt(String id, String vm, RequestWorld world) {
+    EntryAttempt(String id, String vm, RequestSimulation world) {
         this.id = id;
         this.vm = vm;
         this.world = world;
         this.network = world.network();
-        this.round = new ClaimRound(RequestWorld.HOLDERS);
+        this.round = new ClaimRound(RequestSimulation.HOLDERS);
     }
 
     String id() {
@@ -75,10 +75,10 @@
     void start() {
         startNanos = network.nowNanos();
         world.onStep(Step.RECEIVED);
-        ClaimRequest request = new ClaimRequest(RequestWorld.KEY, DIGEST, id, DEADLINE.toMillis());
-        for (String holder : RequestWorld.HOLDERS) {
+        ClaimRequest request = new ClaimRequest(RequestSimulation.KEY, DIGEST, id, DEADLINE.toMillis());
+        for (String holder : RequestSimulation.HOLDERS) {
             network.send(vm, holder, () -> {
-                HolderAnswer answer = world.holder(holder).claim(request, network.nowNanos());
+                HolderDecision answer = world.holder(holder).claim(request, network.nowNanos());
                 network.send(holder, vm, () -> onClaim(round.onReply(holder, answer)));
             });
             network.after(vm, Duration.ofMillis(500), () -> onClaim(round.onNoReply(holder)));
@@ -92,7 +92,7 @@
 
     @Override
     public int ownerCount(GroupName group) {
-        return RequestWorld.OWNERS.size();
+        return RequestSimulation.OWNERS.size();
     }
 
     @Override
@@ -100,22 +100,22 @@
         return true;
     }
 
-    private void onClaim(Optional<Verdict> verdict) {
+    private void onClaim(Optional<Claims.ClaimResult> verdict) {
         if (verdict.isEmpty()) {
             return;
         }
-        if (verdict.get() instanceof Verdict.Claimed) {
+        if (verdict.get() instanceof Claims.ClaimResult.Claimed) {
             world.onStep(Step.CLAIMED);
-            network.after(vm, DEADLINE.minus(GIVE_UP_BEFORE), () -> handle(new RequestEvent.GaveUp()));
+            network.after(vm, DEADLINE.minus(GIVE_UP_BEFORE), () -> handle(new RequestEvent.SendCutoffReached()));
             network.after(vm, DEADLINE, () -> handle(new RequestEvent.DeadlinePassed()));
             handle(new RequestEvent.Started());
             return;
         }
         tell(
-                verdict.get() instanceof Verdict.Answered answered
+                verdict.get() instanceof Claims.ClaimResult.Answered answered
                         ? RequestResult.answered(answered.answer())
-                        : RequestResult.failed(((Verdict.Rejected) verdict.get()).error()));
-        complete(AttemptStatus.NOT_RUN, Optional.empty());
+                        : RequestResult.failed(((Claims.ClaimResult.Rejected) verdict.get()).error()));
+        complete(ClaimStatus.NOT_RUN, Optional.empty());
     }
 
     private void handle(RequestEvent event) {
@@ -123,23 +123,24 @@
     }
 
     private void perform(RequestAction action) {
-        if (action instanceof RequestAction.SendTry send) {
+        if (action instanceof RequestAction.SendAttempt send) {
             sendTry(send);
-        } else if (action instanceof RequestAction.CancelTry cancel) {
-            RequestWorld.OWNERS.forEach(owner ->
+        } else if (action instanceof RequestAction.CancelAttempt cancel) {
+            RequestSimulation.OWNERS.forEach(owner ->
                     network.send(vm, owner, () -> world.owner(owner).cancel(tryId(cancel.number()))));
         } else if (action instanceof RequestAction.AnswerCaller answer) {
             tell(answer.result());
-        } else if (action instanceof RequestAction.Settle settle) {
+        } else if (action instanceof RequestAction.RecordOutcome settle) {
             complete(status(settle.outcome()), Optional.of(settle));
         }
     }
 
-    private void sendTry(RequestAction.SendTry send) {
+    private void sendTry(RequestAction.SendAttempt send) {
         int number = send.number();
-        String owner = RequestWorld.OWNERS.get(send.candidate());
+        String owner = RequestSimulation.OWNERS.get(send.candidate());
         if (!network.isUp(owner)) {
-            network.after(vm, Duration.ofMillis(1), () -> end(number, TryResult.failed(ErrorKind.OWNER_UNREACHABLE)));
+            network.after(
+                    vm, Duration.ofMillis(1), () -> end(number, AttemptResult.failed(ErrorKind.OWNER_UNREACHABLE)));
             return;
         }
         int life = network.incarnation(owner);
@@ -151,10 +152,10 @@
                                 tryId(number), DEADLINE, result -> network.send(owner, vm, () -> end(number, result))));
         network.after(vm, LOSS_NOTICED_AFTER, () -> {
             if (!network.isUp(owner) || network.incarnation(owner) != life) {
-                end(number, TryResult.failed(ErrorKind.OWNER_LOST));
+                end(number, AttemptResult.failed(ErrorKind.OWNER_LOST));
             }
         });
-        network.after(vm, REPLY_WAIT, () -> end(number, TryResult.failed(ErrorKind.OWNER_LOST)));
+        network.after(vm, REPLY_WAIT, () -> end(number, AttemptResult.failed(ErrorKind.OWNER_LOST)));
         world.onStep(Step.FORWARDED);
     }
 
@@ -162,9 +163,9 @@
         return id + "/" + number;
     }
 
-    private void end(int number, TryResult result) {
+    private void end(int number, AttemptResult result) {
         if (ended.add(number)) {
-            handle(new RequestEvent.TryEnded(number, result));
+            handle(new RequestEvent.AttemptEnded(number, result));
         }
     }
 
@@ -173,21 +174,21 @@
         toldNanos = network.nowNanos();
     }
 
-    private void complete(AttemptStatus status, Optional<RequestAction.Settle> settle) {
-        ClaimCompletion completion =
-                new ClaimCompletion(RequestWorld.KEY, DIGEST, id, status, settle.flatMap(RequestAction.Settle::answer));
-        List<String> holders = RequestWorld.HOLDERS;
+    private void complete(ClaimStatus status, Optional<RequestAction.RecordOutcome> settle) {
+        ClaimCompletion completion = new ClaimCompletion(
+                RequestSimulation.KEY, DIGEST, id, status, settle.flatMap(RequestAction.RecordOutcome::answer));
+        List<String> holders = RequestSimulation.HOLDERS;
         for (int i = 0; i < COMPLETIONS; i++) {
             holders.forEach(holder ->
                     network.send(vm, holder, () -> world.holder(holder).complete(completion, network.nowNanos())));
         }
     }
 
-    private static AttemptStatus status(Outcome outcome) {
+    private static ClaimStatus status(Outcome outcome) {
         return switch (outcome) {
-            case RUN -> AttemptStatus.RUN;
-            case NOT_RUN -> AttemptStatus.NOT_RUN;
-            case UNKNOWN -> AttemptStatus.UNKNOWN;
+            case RUN -> ClaimStatus.RUN;
+            case NOT_RUN -> ClaimStatus.NOT_RUN;
+            case UNKNOWN -> ClaimStatus.UNKNOWN;
         };
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/OwnerVm.java
@@ -1,10 +1,10 @@
 package io.coppershelf.bench.matrix;
 
+import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.admission.GroupAction;
 import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.admission.ServerGroup;
-import io.coppershelf.admission.TryResult;
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.backend.BackendResult.ServerState;
 import io.coppershelf.outcome.ErrorKind;
@@ -29,7 +29,7 @@
     private final VirtualNetwork network;
     private final Map<String, FakeServer> servers;
     private final Consumer<Step> reached;
-    private final Map<String, Consumer<TryResult>> open = new HashMap<>();
+    private final Map<String, Consumer<AttemptResult>> open = new HashMap<>();
     private ServerGroup group;
     private boolean stopping;
     private boolean draining;
@@ -61,9 +61,9 @@
     }
 
     /** Takes a forwarded try; its result goes to the given receiver on this VM's side. */
-    void receive(String tryId, Duration remaining, Consumer<TryResult> reply) {
+    void receive(String tryId, Duration remaining, Consumer<AttemptResult> reply) {
         if (stopping) {
-            reply.accept(TryResult.failed(ErrorKind.STOPPING));
+            reply.accept(AttemptResult.failed(ErrorKind.STOPPING));
             return;
         }
         open.put(tryId, reply);
@@ -97,10 +97,10 @@
         if (action instanceof GroupAction.Dispatch dispatch) {
             dispatch(dispatch.tryId(), servers.get(dispatch.server()));
         } else if (action instanceof GroupAction.Refuse refuse) {
-            reply(refuse.tryId(), TryResult.refused(refuse.error(), refuse.retryAfter()));
+            reply(refuse.tryId(), AttemptResult.refused(refuse.error(), refuse.retryAfter()));
         } else if (action instanceof GroupAction.CancelOnServer cancel) {
             cancelOnServer(cancel.tryId(), servers.get(cancel.server()));
-        } else if (action instanceof GroupAction.AskEjection ask) {
+        } else if (action instanceof GroupAction.RequestEjection ask) {
             handle(new GroupEvent.EjectionRefused(ask.server()));
         }
     }
@@ -131,11 +131,11 @@
             return;
         }
         Optional<Answer> answer = body.map(text -> new Answer(200, List.of(), text.getBytes(StandardCharsets.UTF_8)));
-        reply(tryId, new TryResult(answer, error, Optional.empty(), Optional.empty()));
-        handle(new GroupEvent.TryEnded(tryId, answer.map(Answer::status), error, ServerState.READY));
+        reply(tryId, new AttemptResult(answer, error, Optional.empty(), Optional.empty()));
+        handle(new GroupEvent.AttemptEnded(tryId, answer.map(Answer::status), error, ServerState.READY));
     }
 
-    private void reply(String tryId, TryResult result) {
+    private void reply(String tryId, AttemptResult result) {
         Optional.ofNullable(open.remove(tryId)).ifPresent(receiver -> receiver.accept(result));
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/matrix/RequestWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/RequestSimulation.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /** Two entry VMs, two owners, five holders of one key and two servers; one fault strikes when a step is reached. */
-final class RequestWorld {
+final class RequestSimulation {
     static final String KEY = OwnerVm.SERVICE + "/coil-7";
     static final List<String> ENTRIES = List.of("entry-a", "entry-b");
     static final List<String> OWNERS = List.of("owner-a", "owner-b");
@@ -38,7 +38,7 @@
      * @param fault the fault
      * @param victim the VM that it strikes if it is one of VMs
      */
-    RequestWorld(Step step, Fault fault, String victim) {
+    RequestSimulation(Step step, Fault fault, String victim) {
         this.step = step == Step.STOP || step == Step.START ? Step.RUNNING : step;
         this.strike = () -> {
             if (step == Step.STOP) {
--- a/bench/src/main/java/io/coppershelf/bench/matrix/TicketWorld.java
+++ b/bench/src/main/java/io/coppershelf/bench/matrix/TicketSimulation.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** The configurations of three VMs while a ticket has reached only the first of them, and one fault. */
-final class TicketWorld {
+final class TicketSimulation {
     private static final int VMS = 3;
     private static final String SERVICE = "millrelease";
 
@@ -17,7 +17,7 @@
     private final List<Long> highest = new ArrayList<>();
     private final List<String> reverts = new ArrayList<>();
 
-    TicketWorld() {
+    TicketSimulation() {
         for (int vm = 0; vm < VMS; vm++) {
             stores.add(new ConfigurationStore());
             highest.add(0L);
--- a/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
+++ b/bench/src/main/java/io/coppershelf/bench/slopes/GroupSlopes.java
@@ -73,7 +73,7 @@
             throw new IllegalStateException("expected a dispatch but got " + actions);
         }
         group.on(
-                new GroupEvent.TryEnded(tryId, Optional.of(200), Optional.empty(), ServerState.READY),
+                new GroupEvent.AttemptEnded(tryId, Optional.of(200), Optional.empty(), ServerState.READY),
                 nowNanos + 50_000);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/tickets/LinkCuts.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/LinkCuts.java
@@ -1,8 +1,8 @@
 package io.coppershelf.bench.tickets;
 
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
 import io.coppershelf.peer.LinkFilter;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,7 +16,7 @@
  * Cuts links between VMs as a file says that the bench rewrites: on each line the senders, {@code >} and the receivers
  * of the messages that are lost, ids with commas.
  */
-final class LinkCuts implements Part, LinkFilter {
+final class LinkCuts implements Component, LinkFilter {
     private static final Duration READ_INTERVAL = Duration.ofMillis(100);
 
     private final Path file;
@@ -37,12 +37,12 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         registry.register(LinkFilter.NAME, this);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         registry.require(ControlThread.NAME).every(READ_INTERVAL, this::read);
     }
 
--- a/bench/src/test/java/io/coppershelf/bench/decisions/ServiceWorldTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/decisions/ServiceSimulationTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-class ServiceWorldTest {
+class ServiceSimulationTest {
     private static final long LENGTH = 20 * Units.SECONDS;
 
     private static RunResult run(Fault fault, Policy policy) {
         ServiceProfile docdesk = Customer.SYRMATOURGIA.services().get(2);
-        return ServiceWorld.run(new RunSpec(docdesk, fault, 0.4, policy, 1, LENGTH));
+        return ServiceSimulation.run(new RunSpec(docdesk, fault, 0.4, policy, 1, LENGTH));
     }
 
     @Test
--- a/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
+++ b/bench/src/test/java/io/coppershelf/bench/matrix/FaultMatrixTest.java
@@ -94,7 +94,7 @@
     }
 
     private static void checkRequest(Fault fault, Step step, String victim) {
-        RequestWorld world = new RequestWorld(step, fault, victim);
+        RequestSimulation world = new RequestSimulation(step, fault, victim);
         world.run();
         String cell = fault + " at " + step + " of " + victim;
         assertWithMessage("%s struck", cell).that(world.isFaultInjected()).isTrue();
@@ -129,7 +129,7 @@
     }
 
     /** Each caller hears in time, unless its own entry VM is away. */
-    private static void checkEntry(String cell, Fault fault, String victim, RequestWorld world) {
+    private static void checkEntry(String cell, Fault fault, String victim, RequestSimulation world) {
         for (EntryAttempt attempt : world.attempts()) {
             boolean isAway = attempt.vm().equals(victim) && fault != Fault.CUT_IN && fault != Fault.CUT_OUT;
             if (isAway) {
@@ -145,7 +145,7 @@
     }
 
     private static void checkTickets(Fault fault) {
-        TicketWorld world = new TicketWorld();
+        TicketSimulation world = new TicketSimulation();
         world.run(fault);
         assertWithMessage("%s, reverts", fault).that(world.reverts()).isEmpty();
         assertWithMessage("%s, digests", fault)
@@ -162,11 +162,11 @@
     }
 
     private static void checkFloor(Fault fault) {
-        EjectionWorld world = new EjectionWorld(fault);
+        EjectionSimulation world = new EjectionSimulation(fault);
         world.run();
         assertWithMessage("%s, servers out at once", fault)
                 .that(world.maxEjected())
-                .isAtMost(EjectionWorld.SERVERS - EjectionWorld.FLOOR);
+                .isAtMost(EjectionSimulation.SERVERS - EjectionSimulation.FLOOR);
         assertWithMessage("%s, rights granted again", fault)
                 .that(world.maxEjected())
                 .isAtLeast(1);
--- a/coppershelf/src/main/java/io/coppershelf/admission/AdmissionPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AdmissionComponent.java
@@ -1,12 +1,12 @@
 package io.coppershelf.admission;
 
 import io.coppershelf.admission.internal.runtime.Admission;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import java.time.Duration;
 
 /** The part that serves server groups as their owner and forwards tries to other owners. */
-public final class AdmissionPart implements Part {
+public final class AdmissionComponent implements Component {
     private final Admission admission = new Admission();
 
     @Override
@@ -15,12 +15,12 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
-        registry.register(GroupOwners.NAME, admission);
+    public void register(ComponentRegistry registry) {
+        registry.register(AttemptSender.NAME, admission);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         admission.start(registry);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/TryRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptRequest.java
@@ -19,7 +19,7 @@
  * @param hedge whether it is a second, parallel try
  * @param deadlineNanos the monotonic time after which the answer is of no use
  */
-public record TryRequest(
+public record AttemptRequest(
         String tryId,
         GroupName group,
         String route,
@@ -32,7 +32,7 @@
         int largestAnswer,
         boolean hedge,
         long deadlineNanos) {
-    public TryRequest {
+    public AttemptRequest {
         headers = List.copyOf(headers);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/TryResult.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/AttemptResult.java
@@ -14,26 +14,26 @@
  * @param retryAfter when to come back, if the owner knows
  * @param load the load of the group after the try, empty if the owner did not say
  */
-public record TryResult(
+public record AttemptResult(
         Optional<Answer> answer, Optional<ErrorKind> error, Optional<Duration> retryAfter, Optional<GroupLoad> load) {
     /** Returns the result of a try that failed. */
-    public static TryResult failed(ErrorKind error) {
-        return new TryResult(Optional.empty(), Optional.of(error), Optional.empty(), Optional.empty());
+    public static AttemptResult failed(ErrorKind error) {
+        return new AttemptResult(Optional.empty(), Optional.of(error), Optional.empty(), Optional.empty());
     }
 
     /** Returns the result of a try that was refused, with a time to come back. */
-    public static TryResult refused(ErrorKind error, Duration retryAfter) {
-        return new TryResult(Optional.empty(), Optional.of(error), Optional.of(retryAfter), Optional.empty());
+    public static AttemptResult refused(ErrorKind error, Duration retryAfter) {
+        return new AttemptResult(Optional.empty(), Optional.of(error), Optional.of(retryAfter), Optional.empty());
     }
 
     /** Returns what a backend server made of the try. */
-    public static TryResult of(BackendResult result) {
-        return new TryResult(result.answer(), result.error(), Optional.empty(), Optional.empty());
+    public static AttemptResult of(BackendResult result) {
+        return new AttemptResult(result.answer(), result.error(), Optional.empty(), Optional.empty());
     }
 
     /** Returns the result with the load of the group. */
-    public TryResult withLoad(GroupLoad newLoad) {
-        return new TryResult(answer, error, retryAfter, Optional.of(newLoad));
+    public AttemptResult withLoad(GroupLoad newLoad) {
+        return new AttemptResult(answer, error, retryAfter, Optional.of(newLoad));
     }
 
     /**
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupAction.java
@@ -13,11 +13,11 @@
     /** Answer the try as not run, at once. */
     record Refuse(String tryId, ErrorKind error, Duration retryAfter) implements GroupAction {}
 
-    /** Cancel the try on its server; {@link GroupEvent.TryEnded} follows. */
+    /** Cancel the try on its server; {@link GroupEvent.AttemptEnded} follows. */
     record CancelOnServer(String tryId, String server) implements GroupAction {}
 
     /** Ask for the right to eject the server, or renew it. */
-    record AskEjection(String server, String reason) implements GroupAction {}
+    record RequestEjection(String server, String reason) implements GroupAction {}
 
     /** Give the right to eject the server back. */
     record ReleaseEjection(String server) implements GroupAction {}
@@ -26,10 +26,10 @@
     record Probe(String server) implements GroupAction {}
 
     /** Ask VMs of other data centres whether they can reach the server. */
-    record AskReachability(String server) implements GroupAction {}
+    record QueryReachability(String server) implements GroupAction {}
 
     /** Tell the other owners of the service the usual service times, per route in nanoseconds. */
-    record ShareBaseline(Map<String, Long> usualNanos) implements GroupAction {}
+    record ShareServiceTimes(Map<String, Long> usualNanos) implements GroupAction {}
 
     /** Record the change of a server's condition on the time line. */
     record ConditionChanged(String server, ServerCondition from, ServerCondition to, String reason)
--- a/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/GroupEvent.java
@@ -43,7 +43,7 @@
      * @param error why there is no answer
      * @param serverState what the server said of itself
      */
-    record TryEnded(String tryId, Optional<Integer> status, Optional<ErrorKind> error, ServerState serverState)
+    record AttemptEnded(String tryId, Optional<Integer> status, Optional<ErrorKind> error, ServerState serverState)
             implements GroupEvent {}
 
     /** The server reported itself through a probe; empty state if the probe failed. */
@@ -55,10 +55,10 @@
      * @param sender the VM
      * @param usualNanos the usual service time by route
      */
-    record BaselineHeard(String sender, Map<String, Long> usualNanos) implements GroupEvent {}
+    record ServiceTimesReceived(String sender, Map<String, Long> usualNanos) implements GroupEvent {}
 
-    /** Another VM says whether it can reach the server, after {@link GroupAction.AskReachability}. */
-    record ReachabilityHeard(String server, boolean reachable) implements GroupEvent {}
+    /** Another VM says whether it can reach the server, after {@link GroupAction.QueryReachability}. */
+    record ReachabilityReported(String server, boolean reachable) implements GroupEvent {}
 
     /** The right to eject was granted or renewed. */
     record EjectionGranted(String server, long untilNanos) implements GroupEvent {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/ServerGroup.java
@@ -3,34 +3,31 @@
 import io.coppershelf.admission.GroupAction.CancelOnServer;
 import io.coppershelf.admission.GroupAction.Dispatch;
 import io.coppershelf.admission.GroupAction.Refuse;
-import io.coppershelf.admission.GroupEvent.BaselineHeard;
 import io.coppershelf.admission.GroupEvent.Configured;
 import io.coppershelf.admission.GroupEvent.EjectionGranted;
 import io.coppershelf.admission.GroupEvent.EjectionRevoked;
 import io.coppershelf.admission.GroupEvent.ProbeEnded;
-import io.coppershelf.admission.GroupEvent.ReachabilityHeard;
 import io.coppershelf.admission.GroupEvent.RequestArrived;
 import io.coppershelf.admission.GroupEvent.RequestCancelled;
 import io.coppershelf.admission.GroupEvent.Tick;
-import io.coppershelf.admission.GroupEvent.TryEnded;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
+import io.coppershelf.admission.internal.ActionCollector;
 import io.coppershelf.admission.internal.AdmissionControl;
+import io.coppershelf.admission.internal.AttemptEndClassifier;
 import io.coppershelf.admission.internal.DeadlineQueue;
-import io.coppershelf.admission.internal.GroupActions;
-import io.coppershelf.admission.internal.HopelessTries;
+import io.coppershelf.admission.internal.LeastLoadedSelector;
+import io.coppershelf.admission.internal.MeanServiceTimes;
+import io.coppershelf.admission.internal.QueueShedder;
+import io.coppershelf.admission.internal.QueuedAttempt;
 import io.coppershelf.admission.internal.RetryAfterEstimate;
-import io.coppershelf.admission.internal.RunningTry;
-import io.coppershelf.admission.internal.ServerChoice;
-import io.coppershelf.admission.internal.ServiceTimes;
+import io.coppershelf.admission.internal.RunningAttempt;
 import io.coppershelf.admission.internal.ShedBackoff;
 import io.coppershelf.admission.internal.SlotTable;
-import io.coppershelf.admission.internal.TryEnds;
 import io.coppershelf.admission.internal.WaitEstimate;
-import io.coppershelf.admission.internal.WaitingTry;
+import io.coppershelf.health.AttemptEnd;
 import io.coppershelf.health.GroupHealth;
 import io.coppershelf.health.HealthPolicy;
 import io.coppershelf.health.ServerCondition;
-import io.coppershelf.health.TryEnd;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.ticket.ServerSpec;
 import io.coppershelf.ticket.ServiceSpec;
@@ -61,20 +58,20 @@
     private final GroupName name;
     private final SlotTable slots = new SlotTable();
     private final DeadlineQueue queue = new DeadlineQueue();
-    private final ServiceTimes serviceTimes = new ServiceTimes();
+    private final MeanServiceTimes serviceTimes = new MeanServiceTimes();
     private final AdmissionControl admission = new AdmissionControl(queue, serviceTimes);
     private final ShedBackoff backoff = new ShedBackoff();
     private final Map<String, ServerSpec> servers = new TreeMap<>();
-    private final GroupActions actions = new GroupActions();
+    private final ActionCollector actions = new ActionCollector();
     private final RetryAfterEstimate retryAfter;
     private final GroupHealth health;
-    private final ServerChoice choice;
+    private final LeastLoadedSelector choice;
 
     private ServerGroup(GroupName name, RandomGenerator random, Function<ServiceSpec, HealthPolicy> policies) {
         this.name = name;
         this.retryAfter = new RetryAfterEstimate(random);
         this.health = new GroupHealth(policies, actions);
-        this.choice = new ServerChoice(slots, health, backoff, random);
+        this.choice = new LeastLoadedSelector(slots, health, backoff, random);
     }
 
     /** Returns the decisions for the group, without servers yet. */
@@ -93,7 +90,7 @@
         health.advance(nowNanos);
         if (event instanceof RequestArrived request) {
             arrive(request, nowNanos);
-        } else if (event instanceof TryEnded ended) {
+        } else if (event instanceof GroupEvent.AttemptEnded ended) {
             end(ended, nowNanos);
         } else if (event instanceof Tick) {
             health.tick(nowNanos);
@@ -112,9 +109,9 @@
     private void tellHealth(GroupEvent event, long nowNanos) {
         if (event instanceof ProbeEnded probe) {
             health.probeEnded(probe.server(), probe.state(), nowNanos);
-        } else if (event instanceof BaselineHeard heard) {
+        } else if (event instanceof GroupEvent.ServiceTimesReceived heard) {
             health.serviceTimesReceived(heard.sender(), heard.usualNanos(), nowNanos);
-        } else if (event instanceof ReachabilityHeard heard) {
+        } else if (event instanceof GroupEvent.ReachabilityReported heard) {
             health.reachabilityReported(heard.server(), heard.reachable(), nowNanos);
         } else if (event instanceof EjectionGranted granted) {
             health.ejectionGranted(granted.server(), granted.untilNanos(), nowNanos);
@@ -137,7 +134,7 @@
                 : admission.admits(request, estimate, nowNanos);
         retryAfter.recordDecision(admitted);
         if (admitted) {
-            queue.add(new WaitingTry(request, serviceTimes.meanNanos(request.route())));
+            queue.add(new QueuedAttempt(request, serviceTimes.meanNanos(request.route())));
             return;
         }
         ErrorKind error = estimate.slots() == 0 ? ErrorKind.NO_SERVER : ErrorKind.OVERLOADED;
@@ -146,7 +143,7 @@
 
     private void refuseHopeless(long nowNanos) {
         WaitEstimate estimate = choice.largestEstimate(servers.values(), serviceTimes, nowNanos);
-        for (WaitingTry hopeless : HopelessTries.selectAttempts(queue, estimate, nowNanos)) {
+        for (QueuedAttempt hopeless : QueueShedder.selectAttempts(queue, estimate, nowNanos)) {
             queue.remove(hopeless.attemptId());
             Duration delay = retryAfter.retryAfter(expectedWaitNanos(estimate));
             actions.add(new Refuse(hopeless.attemptId(), ErrorKind.OVERLOADED, delay));
@@ -159,17 +156,17 @@
         slots.find(tryId).ifPresent(running -> actions.add(new CancelOnServer(tryId, running.server())));
     }
 
-    private void end(TryEnded ended, long nowNanos) {
-        Optional<RunningTry> running = slots.release(ended.tryId());
+    private void end(GroupEvent.AttemptEnded ended, long nowNanos) {
+        Optional<RunningAttempt> running = slots.release(ended.tryId());
         if (running.isEmpty()) {
             return;
         }
-        RunningTry done = running.get();
-        TryEnd end = TryEnds.classify(ended);
-        if (end == TryEnd.ANSWERED) {
+        RunningAttempt done = running.get();
+        AttemptEnd end = AttemptEndClassifier.classify(ended);
+        if (end == AttemptEnd.ANSWERED) {
             backoff.recordSuccess(done.server());
             serviceTimes.record(done.request().route(), health.observedNanos() - done.dispatchedNanos());
-        } else if (end == TryEnd.REFUSED) {
+        } else if (end == AttemptEnd.REFUSED) {
             backoff.recordRefusal(done.server(), nowNanos);
         }
         health.ended(ended.tryId(), done.server(), end, ended.serverState(), nowNanos);
@@ -178,7 +175,7 @@
     private void dispatchWaiting(long nowNanos) {
         dispatchTrial(nowNanos);
         while (!queue.isEmpty()) {
-            WaitingTry first = queue.attempts().get(0);
+            QueuedAttempt first = queue.attempts().get(0);
             if (isTooLate(first, nowNanos)) {
                 queue.remove(first.attemptId());
                 actions.add(new Refuse(first.attemptId(), ErrorKind.DEADLINE_BEFORE_RUN, Duration.ZERO));
@@ -193,11 +190,11 @@
         }
     }
 
-    private boolean isTooLate(WaitingTry waiting, long nowNanos) {
+    private boolean isTooLate(QueuedAttempt waiting, long nowNanos) {
         return waiting.slackNanos(nowNanos) < waiting.expectedNanos() / 2;
     }
 
-    private Optional<String> serverFor(WaitingTry waiting, long nowNanos) {
+    private Optional<String> serverFor(QueuedAttempt waiting, long nowNanos) {
         Optional<String> best = choice.selectUnsuspected(servers.values(), nowNanos);
         if (best.isPresent() || waiting.request().hedge() || canWait(waiting, nowNanos)) {
             return best;
@@ -205,7 +202,7 @@
         return choice.selectSuspected(servers.values(), nowNanos);
     }
 
-    private boolean canWait(WaitingTry waiting, long nowNanos) {
+    private boolean canWait(QueuedAttempt waiting, long nowNanos) {
         WaitEstimate estimate = estimate(nowNanos);
         long needed = estimate.waitNanos(queue, 0) + waiting.expectedNanos();
         return choice.hasUnsuspected(servers.values(), nowNanos)
@@ -222,15 +219,15 @@
                         .ifPresent(waiting -> dispatch(waiting, server, nowNanos)));
     }
 
-    private boolean isFitForTrial(WaitingTry waiting, long nowNanos) {
+    private boolean isFitForTrial(QueuedAttempt waiting, long nowNanos) {
         return waiting.request().idempotent()
                 && !waiting.request().hedge()
                 && waiting.slackNanos(nowNanos) >= TRIAL_SLACK * waiting.expectedNanos();
     }
 
-    private void dispatch(WaitingTry waiting, String server, long nowNanos) {
+    private void dispatch(QueuedAttempt waiting, String server, long nowNanos) {
         RequestArrived request = waiting.request();
-        slots.occupy(new RunningTry(request, server, health.observedNanos()));
+        slots.occupy(new RunningAttempt(request, server, health.observedNanos()));
         health.dispatched(request.tryId(), server, request.route(), request.idempotent(), nowNanos);
         actions.add(new Dispatch(request.tryId(), server));
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/GroupActions.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/ActionCollector.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Gathers the actions of one event in order. */
-public final class GroupActions implements HealthCommands {
+public final class ActionCollector implements HealthCommands {
     private List<GroupAction> actions = new ArrayList<>();
 
     /** Adds an action. */
@@ -25,7 +25,7 @@
 
     @Override
     public void requestEjection(String server, String reason) {
-        add(new GroupAction.AskEjection(server, reason));
+        add(new GroupAction.RequestEjection(server, reason));
     }
 
     @Override
@@ -40,7 +40,7 @@
 
     @Override
     public void queryReachability(String server) {
-        add(new GroupAction.AskReachability(server));
+        add(new GroupAction.QueryReachability(server));
     }
 
     @Override
@@ -50,7 +50,7 @@
 
     @Override
     public void shareServiceTimes(Map<String, Long> usualNanos) {
-        add(new GroupAction.ShareBaseline(usualNanos));
+        add(new GroupAction.ShareServiceTimes(usualNanos));
     }
 
     @Override
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/AdmissionControl.java
@@ -10,11 +10,11 @@
     static final double WAIT_SHARE = 0.75;
 
     private final DeadlineQueue queue;
-    private final ServiceTimes serviceTimes;
-    private final WeightShares weightShares = new WeightShares();
+    private final MeanServiceTimes serviceTimes;
+    private final WeightedBacklogLimit weightShares = new WeightedBacklogLimit();
 
     /** Returns the admission to the given queue. */
-    public AdmissionControl(DeadlineQueue queue, ServiceTimes serviceTimes) {
+    public AdmissionControl(DeadlineQueue queue, MeanServiceTimes serviceTimes) {
         this.queue = queue;
         this.serviceTimes = serviceTimes;
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/DeadlineQueue.java
@@ -13,11 +13,11 @@
  *     Hard-Real-Time Environment, 1973</a>
  */
 public final class DeadlineQueue {
-    private final List<WaitingTry> tries = new ArrayList<>();
+    private final List<QueuedAttempt> tries = new ArrayList<>();
     private long allWorkNanos;
 
     /** Adds a try at its place. */
-    public void add(WaitingTry waiting) {
+    public void add(QueuedAttempt waiting) {
         tries.add(insertionIndex(waiting.request().deadlineNanos()), waiting);
         allWorkNanos += waiting.expectedNanos();
     }
@@ -38,10 +38,10 @@
     }
 
     /** Removes and returns the first try that the predicate accepts. */
-    public Optional<WaitingTry> removeFirst(Predicate<WaitingTry> predicate) {
+    public Optional<QueuedAttempt> removeFirst(Predicate<QueuedAttempt> predicate) {
         for (int index = 0; index < tries.size(); index++) {
             if (predicate.test(tries.get(index))) {
-                WaitingTry taken = tries.remove(index);
+                QueuedAttempt taken = tries.remove(index);
                 allWorkNanos -= taken.expectedNanos();
                 return Optional.of(taken);
             }
@@ -50,7 +50,7 @@
     }
 
     /** Removes and returns the try of the given id. */
-    public Optional<WaitingTry> remove(String tryId) {
+    public Optional<QueuedAttempt> remove(String tryId) {
         return removeFirst(waiting -> waiting.attemptId().equals(tryId));
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Returns the tries in order, as a view. */
-    public List<WaitingTry> attempts() {
+    public List<QueuedAttempt> attempts() {
         return Collections.unmodifiableList(tries);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ServerChoice.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/LeastLoadedSelector.java
@@ -9,14 +9,14 @@
 import java.util.random.RandomGenerator;
 
 /** Chooses the server with the smallest share of its slots taken, among those that may take work now. */
-public final class ServerChoice {
+public final class LeastLoadedSelector {
     private final SlotTable slots;
     private final GroupHealth health;
     private final ShedBackoff backoff;
     private final RandomGenerator random;
 
     /** Returns the choice by the given figures. */
-    public ServerChoice(SlotTable slots, GroupHealth health, ShedBackoff backoff, RandomGenerator random) {
+    public LeastLoadedSelector(SlotTable slots, GroupHealth health, ShedBackoff backoff, RandomGenerator random) {
         this.slots = slots;
         this.health = health;
         this.backoff = backoff;
@@ -70,18 +70,21 @@
     }
 
     /** Returns what works through the queue: the servers in service, or if there is none, the suspected ones. */
-    public WaitEstimate estimate(Collection<ServerSpec> servers, ServiceTimes serviceTimes, long nowNanos) {
+    public WaitEstimate estimate(Collection<ServerSpec> servers, MeanServiceTimes serviceTimes, long nowNanos) {
         WaitEstimate good = estimate(servers, server -> !isSuspected(server), serviceTimes, nowNanos);
         return good.slots() > 0 ? good : estimate(servers, this::isSuspected, serviceTimes, nowNanos);
     }
 
     /** Returns what could work through the queue at most: the servers in service and the suspected ones. */
-    public WaitEstimate largestEstimate(Collection<ServerSpec> servers, ServiceTimes serviceTimes, long nowNanos) {
+    public WaitEstimate largestEstimate(Collection<ServerSpec> servers, MeanServiceTimes serviceTimes, long nowNanos) {
         return estimate(servers, server -> true, serviceTimes, nowNanos);
     }
 
     private WaitEstimate estimate(
-            Collection<ServerSpec> servers, Predicate<ServerSpec> eligible, ServiceTimes serviceTimes, long nowNanos) {
+            Collection<ServerSpec> servers,
+            Predicate<ServerSpec> eligible,
+            MeanServiceTimes serviceTimes,
+            long nowNanos) {
         int all = 0;
         int free = 0;
         long residual = 0;
@@ -94,7 +97,7 @@
             free += backoff.isPaused(server.name(), nowNanos)
                     ? 0
                     : Math.max(0, allowed - slots.inFlight(server.name()));
-            for (RunningTry running : slots.running(server.name())) {
+            for (RunningAttempt running : slots.running(server.name())) {
                 residual += serviceTimes.residualNanos(
                         running.request().route(), health.observedNanos() - running.dispatchedNanos());
             }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/ServiceTimes.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/MeanServiceTimes.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** The measured mean service time of each request kind, as an exponentially weighted moving average. */
-public final class ServiceTimes {
+public final class MeanServiceTimes {
     private static final long FIRST_GUESS_NANOS = Duration.ofMillis(20).toNanos();
     private static final double SAMPLE_WEIGHT = 0.05;
     private static final double LEAST_RESIDUAL_SHARE = 0.3;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/HopelessTries.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/QueueShedder.java
@@ -12,26 +12,26 @@
  * @see <a href="https://doi.org/10.1287/mnsc.15.1.102">Moore, An n Job, One Machine Sequencing Algorithm for Minimizing
  *     the Number of Late Jobs, 1968</a>
  */
-public final class HopelessTries {
+public final class QueueShedder {
     /** How far the estimate must be over the time left, so that its error refuses nothing. */
     private static final double TOLERANCE = 1.1;
 
-    private HopelessTries() {}
+    private QueueShedder() {}
 
     /** Returns the tries to be given up. */
-    public static List<WaitingTry> selectAttempts(DeadlineQueue queue, WaitEstimate estimate, long nowNanos) {
-        List<WaitingTry> hopeless = new ArrayList<>();
+    public static List<QueuedAttempt> selectAttempts(DeadlineQueue queue, WaitEstimate estimate, long nowNanos) {
+        List<QueuedAttempt> hopeless = new ArrayList<>();
         if (estimate.slots() == 0) {
             return hopeless;
         }
-        PriorityQueue<WaitingTry> kept = new PriorityQueue<>(Comparator.comparingDouble(HopelessTries::value));
+        PriorityQueue<QueuedAttempt> kept = new PriorityQueue<>(Comparator.comparingDouble(QueueShedder::value));
         long work = estimate.residualNanos();
-        for (WaitingTry waiting : queue.attempts()) {
+        for (QueuedAttempt waiting : queue.attempts()) {
             long end = work / estimate.slots() + waiting.expectedNanos();
             kept.add(waiting);
             work += waiting.expectedNanos();
             if (end > TOLERANCE * waiting.slackNanos(nowNanos)) {
-                WaitingTry dropped = kept.remove();
+                QueuedAttempt dropped = kept.remove();
                 hopeless.add(dropped);
                 work -= dropped.expectedNanos();
             }
@@ -39,7 +39,7 @@
         return hopeless;
     }
 
-    private static double value(WaitingTry waiting) {
+    private static double value(QueuedAttempt waiting) {
         return (double) waiting.request().weight() / Math.max(1, waiting.expectedNanos());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitingTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/QueuedAttempt.java
@@ -8,7 +8,7 @@
  * @param request the request as it arrived
  * @param expectedNanos its expected service time
  */
-public record WaitingTry(RequestArrived request, long expectedNanos) {
+public record QueuedAttempt(RequestArrived request, long expectedNanos) {
     /** Returns the id of the try. */
     public String attemptId() {
         return request.tryId();
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/RunningTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/RunningAttempt.java
@@ -9,7 +9,7 @@
  * @param server the server
  * @param dispatchedNanos when it was dispatched, in observed time
  */
-public record RunningTry(RequestArrived request, String server, long dispatchedNanos) {
+public record RunningAttempt(RequestArrived request, String server, long dispatchedNanos) {
     /** Returns the id of the try. */
     public String attemptId() {
         return request.tryId();
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/SlotTable.java
@@ -9,15 +9,15 @@
 
 /** The exact count of the tries that run on each server. A try holds its slot from dispatch to its end. */
 public final class SlotTable {
-    private final Map<String, RunningTry> byTry = new HashMap<>();
-    private final Map<String, Map<String, RunningTry>> byServer = new HashMap<>();
+    private final Map<String, RunningAttempt> byTry = new HashMap<>();
+    private final Map<String, Map<String, RunningAttempt>> byServer = new HashMap<>();
 
     /**
      * Takes a slot of the try's server.
      *
      * @throws IllegalStateException if the try holds a slot already
      */
-    public void occupy(RunningTry running) {
+    public void occupy(RunningAttempt running) {
         if (byTry.putIfAbsent(running.attemptId(), running) != null) {
             throw new IllegalStateException("try \"" + running.attemptId() + "\" holds a slot already");
         }
@@ -26,19 +26,19 @@
     }
 
     /** Frees the slot of the try; returns the try, empty if it holds none. */
-    public Optional<RunningTry> release(String tryId) {
-        Optional<RunningTry> running = Optional.ofNullable(byTry.remove(tryId));
+    public Optional<RunningAttempt> release(String tryId) {
+        Optional<RunningAttempt> running = Optional.ofNullable(byTry.remove(tryId));
         running.ifPresent(ended -> byServer.get(ended.server()).remove(tryId));
         return running;
     }
 
     /** Returns the try if it runs. */
-    public Optional<RunningTry> find(String tryId) {
+    public Optional<RunningAttempt> find(String tryId) {
         return Optional.ofNullable(byTry.get(tryId));
     }
 
     /** Returns the tries that run on the server, the oldest first. */
-    public Collection<RunningTry> running(String server) {
+    public Collection<RunningAttempt> running(String server) {
         return Collections.unmodifiableCollection(
                 byServer.getOrDefault(server, Map.of()).values());
     }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitEstimate.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WaitEstimate.java
@@ -27,8 +27,8 @@
             return true;
         }
         long ahead = residualNanos + addedNanos + queue.workNanos(place);
-        List<WaitingTry> tries = queue.attempts();
-        for (WaitingTry later : tries.subList(place, tries.size())) {
+        List<QueuedAttempt> tries = queue.attempts();
+        for (QueuedAttempt later : tries.subList(place, tries.size())) {
             if ((double) (ahead / slots + AdmissionControl.SERVICE_MARGIN * later.expectedNanos())
                     > ROOM_SHARE * (double) later.slackNanos(nowNanos)) {
                 return false;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/WeightShares.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WeightedBacklogLimit.java
@@ -9,11 +9,11 @@
  *
  * @see <a href="https://doi.org/10.1109/49.76630">Kröner et al., Priority Management in ATM Switching Nodes, 1991</a>
  */
-public final class WeightShares {
+public final class WeightedBacklogLimit {
     private static final double LEAST_SHARE = 0.05;
 
-    private final RecentMaximum weight = new RecentMaximum(Duration.ofSeconds(10));
-    private final RecentMaximum slackNanos = new RecentMaximum(Duration.ofSeconds(10));
+    private final WindowedMaximum weight = new WindowedMaximum(Duration.ofSeconds(10));
+    private final WindowedMaximum slackNanos = new WindowedMaximum(Duration.ofSeconds(10));
 
     /** Takes in the weight of a request that arrived, and the time that it has. */
     public void recordArrival(int requestWeight, long requestSlackNanos, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/RecentMaximum.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/WindowedMaximum.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /** The largest value seen in the present and the last window of time. */
-final class RecentMaximum {
+final class WindowedMaximum {
     private final long windowNanos;
     private long largest;
     private long largestBefore;
     private long startedNanos;
 
-    RecentMaximum(Duration window) {
+    WindowedMaximum(Duration window) {
         this.windowNanos = window.toNanos();
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Admission.java
@@ -1,19 +1,19 @@
 package io.coppershelf.admission.internal.runtime;
 
 import com.google.common.flogger.FluentLogger;
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.GroupOwners;
 import io.coppershelf.admission.OwnerLookup;
 import io.coppershelf.admission.ServerGroup;
-import io.coppershelf.admission.TryRequest;
 import io.coppershelf.backend.BackendClient;
-import io.coppershelf.floor.EjectionRights;
+import io.coppershelf.floor.EjectionGrants;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.ServiceRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
 import io.coppershelf.membership.Vm;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.settings.Settings;
@@ -23,23 +23,23 @@
 import java.util.concurrent.locks.LockSupport;
 
 /** Puts the pieces of the part together. */
-public final class Admission implements GroupOwners {
+public final class Admission implements AttemptSender {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(25);
     private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(10);
 
-    private volatile GroupOwners owners;
+    private volatile AttemptSender owners;
     private volatile LocalGroups groups;
 
     /** Looks up the services of other parts and begins work. */
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         BackendClient backend = registry.require(BackendClient.NAME);
         TimeSource time = registry.require(TimeSource.NAME);
         FleetView.Source fleet = registry.require(FleetView.Source.NAME);
         Configuration.Source configuration = registry.require(Configuration.Source.NAME);
         PeerExchange peers = registry.require(PeerExchange.NAME);
-        HealthPeers healthPeers = new HealthPeers(peers, fleet, configuration, backend);
-        EjectionRights rights = registry.require(EjectionRights.NAME);
+        HealthEvidenceExchange healthPeers = new HealthEvidenceExchange(peers, fleet, configuration, backend);
+        EjectionGrants rights = registry.require(EjectionGrants.NAME);
         Timeline timeline = registry.require(Timeline.NAME);
 
         groups = new LocalGroups(
@@ -50,11 +50,11 @@
                         decisions(name, time),
                         backend,
                         time,
-                        runtime -> new GroupHealthActions(runtime, backend, healthPeers, rights, timeline)));
-        owners = new PeerGroupOwners(registry.require(Settings.NAME).vm(), groups, peers, time);
+                        runtime -> new GroupHealthActionExecutor(runtime, backend, healthPeers, rights, timeline)));
+        owners = new PeerAttemptSender(registry.require(Settings.NAME).vm(), groups, peers, time);
         healthPeers.register(groups);
         new ForwardServer(groups).register(peers, time);
-        registry.require(OperatorDesk.NAME).addStatus(new AdmissionStatus(groups));
+        registry.require(OperatorRegistry.NAME).addStatus(new AdmissionStatus(groups));
         drive(registry.require(ControlThread.NAME), configuration, fleet);
     }
 
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public TryExchange send(Vm owner, TryRequest request) {
+    public AttemptSender.AttemptExchange send(Vm owner, AttemptRequest request) {
         return owners.send(owner, request);
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/AdmissionStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/AdmissionStatus.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.admission.GroupStatus.ServerStatus;
-import io.coppershelf.operator.StatusSource;
+import io.coppershelf.operator.StatusContributor;
 
 /** Shows the server groups that this VM serves. */
-final class AdmissionStatus implements StatusSource {
+final class AdmissionStatus implements StatusContributor {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final LocalGroups groups;
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReply.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReply.java
@@ -1,6 +1,6 @@
 package io.coppershelf.admission.internal.runtime;
 
-import io.coppershelf.admission.TryResult;
+import io.coppershelf.admission.AttemptResult;
 import io.coppershelf.peer.PeerMessage;
 
 /**
@@ -9,4 +9,4 @@
  * @param tryId the try
  * @param result how it ended
  */
-record ForwardReply(String tryId, TryResult result) implements PeerMessage {}
+record ForwardReply(String tryId, AttemptResult result) implements PeerMessage {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReplyCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardReplyCodec.java
@@ -1,7 +1,7 @@
 package io.coppershelf.admission.internal.runtime;
 
-import io.coppershelf.admission.TryResult;
-import io.coppershelf.admission.TryResult.GroupLoad;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptResult.GroupLoad;
 import io.coppershelf.backend.BackendResult.Answer;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.peer.MessageFields;
@@ -28,7 +28,7 @@
 
     @Override
     public void write(ForwardReply message, MessagePacker packer) throws IOException {
-        TryResult result = message.result();
+        AttemptResult result = message.result();
         packer.packString(message.tryId());
         MessageFields.writeOptional(packer, result.answer(), ForwardReplyCodec::writeAnswer);
         MessageFields.writeOptional(packer, result.error(), (target, error) -> target.packString(error.name()));
@@ -59,7 +59,7 @@
                 MessageFields.readOptional(unpacker, source -> Duration.ofMillis(source.unpackLong()));
         Optional<GroupLoad> load =
                 MessageFields.readOptional(unpacker, source -> new GroupLoad(source.unpackInt(), source.unpackLong()));
-        return new ForwardReply(tryId, new TryResult(answer, error, retryAfter, load));
+        return new ForwardReply(tryId, new AttemptResult(answer, error, retryAfter, load));
     }
 
     private static Answer readAnswer(MessageUnpacker unpacker) throws IOException {
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequest.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequest.java
@@ -1,6 +1,6 @@
 package io.coppershelf.admission.internal.runtime;
 
-import io.coppershelf.admission.TryRequest;
+import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.peer.PeerMessage;
 
 /**
@@ -9,4 +9,4 @@
  * @param request the try; its deadline is in the time of the VM that holds the message
  * @param remainingMillis the time left when the message was written
  */
-record ForwardRequest(TryRequest request, long remainingMillis) implements PeerMessage {}
+record ForwardRequest(AttemptRequest request, long remainingMillis) implements PeerMessage {}
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardRequestCodec.java
@@ -1,7 +1,7 @@
 package io.coppershelf.admission.internal.runtime;
 
+import io.coppershelf.admission.AttemptRequest;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.TryRequest;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.peer.MessageFields;
 import io.coppershelf.peer.PeerMessageCodec;
@@ -33,7 +33,7 @@
 
     @Override
     public void write(ForwardRequest message, MessagePacker packer) throws IOException {
-        TryRequest request = message.request();
+        AttemptRequest request = message.request();
         packer.packString(request.tryId());
         packer.packString(request.group().service());
         packer.packString(request.group().dataCentre());
@@ -65,7 +65,7 @@
         long remainingMillis = readRemaining(unpacker);
         long deadline = time.nanos() + Duration.ofMillis(remainingMillis).toNanos();
         return new ForwardRequest(
-                new TryRequest(
+                new AttemptRequest(
                         tryId,
                         group,
                         route,
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardServer.java
@@ -1,6 +1,6 @@
 package io.coppershelf.admission.internal.runtime;
 
-import io.coppershelf.admission.GroupOwners.TryExchange;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.peer.PeerExchange;
 import java.util.concurrent.ConcurrentHashMap;
@@ -9,7 +9,7 @@
 /** Serves tries that other VMs forward to this one. */
 final class ForwardServer {
     private final LocalGroups groups;
-    private final ConcurrentMap<ForwardKey, TryExchange> underWay = new ConcurrentHashMap<>();
+    private final ConcurrentMap<ForwardKey, AttemptSender.AttemptExchange> underWay = new ConcurrentHashMap<>();
 
     ForwardServer(LocalGroups groups) {
         this.groups = groups;
@@ -24,7 +24,7 @@
 
     private void serve(String sender, ForwardRequest message, PeerExchange.Replies replies) {
         ForwardKey key = new ForwardKey(sender, message.request().tryId());
-        TryExchange exchange = groups.submit(message.request());
+        AttemptSender.AttemptExchange exchange = groups.submit(message.request());
         underWay.put(key, exchange);
         var unused = exchange.result().thenAccept(result -> {
             underWay.remove(key, exchange);
@@ -33,7 +33,7 @@
     }
 
     private void cancel(String sender, ForwardCancel message) {
-        TryExchange exchange = underWay.get(new ForwardKey(sender, message.tryId()));
+        AttemptSender.AttemptExchange exchange = underWay.get(new ForwardKey(sender, message.tryId()));
         if (exchange != null) {
             exchange.cancel();
         }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ForwardedAttempt.java
@@ -1,8 +1,8 @@
 package io.coppershelf.admission.internal.runtime;
 
-import io.coppershelf.admission.GroupOwners.TryExchange;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.admission.TryResult;
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.Vm;
 import io.coppershelf.outcome.ErrorKind;
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A try that was forwarded to its owner on another VM. */
-final class ForwardedTry implements TryExchange {
+final class ForwardedAttempt implements AttemptSender.AttemptExchange {
     /** How long after the deadline the owner may still tell what became of the try. */
     private static final Duration REPLY_MARGIN = Duration.ofMillis(500);
 
@@ -20,10 +20,11 @@
 
     private final PeerExchange peers;
     private final Vm owner;
-    private final TryRequest request;
-    private final CompletableFuture<TryResult> result;
+    private final AttemptRequest request;
+    private final CompletableFuture<AttemptResult> result;
 
-    private ForwardedTry(PeerExchange peers, Vm owner, TryRequest request, CompletableFuture<TryResult> result) {
+    private ForwardedAttempt(
+            PeerExchange peers, Vm owner, AttemptRequest request, CompletableFuture<AttemptResult> result) {
         this.peers = peers;
         this.owner = owner;
         this.request = request;
@@ -31,36 +32,36 @@
     }
 
     /** Forwards the try, unless its deadline is past. */
-    static ForwardedTry send(PeerExchange peers, TimeSource time, Vm owner, TryRequest request) {
+    static ForwardedAttempt send(PeerExchange peers, TimeSource time, Vm owner, AttemptRequest request) {
         long remainingMillis = (request.deadlineNanos() - time.nanos()) / NANOS_PER_MILLI;
         if (remainingMillis < 1) {
-            return new ForwardedTry(
+            return new ForwardedAttempt(
                     peers,
                     owner,
                     request,
-                    CompletableFuture.completedFuture(TryResult.failed(ErrorKind.DEADLINE_BEFORE_RUN)));
+                    CompletableFuture.completedFuture(AttemptResult.failed(ErrorKind.DEADLINE_BEFORE_RUN)));
         }
         Duration timeout = Duration.ofMillis(remainingMillis).plus(REPLY_MARGIN);
-        CompletableFuture<TryResult> result = peers.request(
+        CompletableFuture<AttemptResult> result = peers.request(
                         owner, new ForwardRequest(request, remainingMillis), timeout)
                 .thenApply(reply -> read(reply, request.tryId()));
-        return new ForwardedTry(peers, owner, request, result);
+        return new ForwardedAttempt(peers, owner, request, result);
     }
 
-    private static TryResult read(PeerReply reply, String tryId) {
+    private static AttemptResult read(PeerReply reply, String tryId) {
         if (reply instanceof PeerReply.NotSent) {
-            return TryResult.failed(ErrorKind.OWNER_UNREACHABLE);
+            return AttemptResult.failed(ErrorKind.OWNER_UNREACHABLE);
         }
         if (reply instanceof PeerReply.Received received
                 && received.message() instanceof ForwardReply forward
                 && forward.tryId().equals(tryId)) {
             return forward.result();
         }
-        return TryResult.failed(ErrorKind.OWNER_LOST);
+        return AttemptResult.failed(ErrorKind.OWNER_LOST);
     }
 
     @Override
-    public CompletableFuture<TryResult> result() {
+    public CompletableFuture<AttemptResult> result() {
         return result;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActions.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupHealthActionExecutor.java
@@ -5,25 +5,29 @@
 import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
 import io.coppershelf.backend.BackendClient;
-import io.coppershelf.floor.EjectionRights;
+import io.coppershelf.floor.EjectionGrants;
 import io.coppershelf.health.ServerCondition;
 import io.coppershelf.operator.Timeline;
 import java.time.Duration;
 
 /** Carries out what one group wants: rights to eject, probes, evidence of other VMs, and the time line. */
-final class GroupHealthActions implements HealthActions, EjectionRights.Listener {
+final class GroupHealthActionExecutor implements HealthActionExecutor, EjectionGrants.Listener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(300);
 
     private final GroupRuntime group;
     private final GroupName name;
     private final BackendClient backend;
-    private final HealthPeers peers;
-    private final EjectionRights rights;
+    private final HealthEvidenceExchange peers;
+    private final EjectionGrants rights;
     private final Timeline timeline;
 
-    GroupHealthActions(
-            GroupRuntime group, BackendClient backend, HealthPeers peers, EjectionRights rights, Timeline timeline) {
+    GroupHealthActionExecutor(
+            GroupRuntime group,
+            BackendClient backend,
+            HealthEvidenceExchange peers,
+            EjectionGrants rights,
+            Timeline timeline) {
         this.group = group;
         this.name = group.name();
         this.backend = backend;
@@ -34,18 +38,18 @@
 
     @Override
     public void perform(GroupAction action) {
-        if (action instanceof GroupAction.AskEjection ask) {
+        if (action instanceof GroupAction.RequestEjection ask) {
             rights.request(name.service(), ask.server(), this);
         } else if (action instanceof GroupAction.ReleaseEjection release) {
             rights.release(name.service(), release.server());
         } else if (action instanceof GroupAction.Probe probe) {
             probe(probe.server());
-        } else if (action instanceof GroupAction.AskReachability ask) {
+        } else if (action instanceof GroupAction.QueryReachability ask) {
             peers.queryReachability(
                     name,
                     ask.server(),
-                    reachable -> group.on(new GroupEvent.ReachabilityHeard(ask.server(), reachable)));
-        } else if (action instanceof GroupAction.ShareBaseline share) {
+                    reachable -> group.on(new GroupEvent.ReachabilityReported(ask.server(), reachable)));
+        } else if (action instanceof GroupAction.ShareServiceTimes share) {
             peers.shareServiceTimes(name, share.usualNanos());
         } else if (action instanceof GroupAction.ConditionChanged change) {
             tell(change);
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/GroupRuntime.java
@@ -1,14 +1,14 @@
 package io.coppershelf.admission.internal.runtime;
 
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptResult.GroupLoad;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.admission.GroupAction;
 import io.coppershelf.admission.GroupEvent;
 import io.coppershelf.admission.GroupName;
-import io.coppershelf.admission.GroupOwners.TryExchange;
 import io.coppershelf.admission.GroupStatus;
 import io.coppershelf.admission.ServerGroupDecisions;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.admission.TryResult;
-import io.coppershelf.admission.TryResult.GroupLoad;
 import io.coppershelf.backend.BackendClient;
 import io.coppershelf.backend.BackendRequest;
 import io.coppershelf.backend.BackendResult;
@@ -34,8 +34,8 @@
     private final ServerGroupDecisions decisions;
     private final BackendClient backend;
     private final TimeSource time;
-    private final HealthActions healthActions;
-    private final ConcurrentMap<String, PendingTry> tries = new ConcurrentHashMap<>();
+    private final HealthActionExecutor healthActions;
+    private final ConcurrentMap<String, PendingAttempt> tries = new ConcurrentHashMap<>();
     private volatile Map<String, ServerSpec> servers = Map.of();
 
     GroupRuntime(
@@ -43,7 +43,7 @@
             ServerGroupDecisions decisions,
             BackendClient backend,
             TimeSource time,
-            Function<GroupRuntime, HealthActions> healthActions) {
+            Function<GroupRuntime, HealthActionExecutor> healthActions) {
         this.name = name;
         this.decisions = decisions;
         this.backend = backend;
@@ -77,10 +77,10 @@
     }
 
     /** Takes a try in; a try id that is under way already is not run a second time. */
-    TryExchange submit(TryRequest request) {
-        PendingTry pending = new PendingTry(request, this::cancel);
+    AttemptSender.AttemptExchange submit(AttemptRequest request) {
+        PendingAttempt pending = new PendingAttempt(request, this::cancel);
         if (tries.putIfAbsent(request.tryId(), pending) != null) {
-            pending.end(TryResult.failed(ErrorKind.OWNER_LOST));
+            pending.end(AttemptResult.failed(ErrorKind.OWNER_LOST));
             return pending;
         }
         on(new GroupEvent.RequestArrived(
@@ -93,9 +93,9 @@
         return pending;
     }
 
-    private void cancel(PendingTry pending) {
+    private void cancel(PendingAttempt pending) {
         on(new GroupEvent.RequestCancelled(pending.request().tryId()));
-        endIfWaiting(pending, TryResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
+        endIfWaiting(pending, AttemptResult.failed(ErrorKind.DEADLINE_BEFORE_RUN));
     }
 
     /** Feeds one event to the decisions and carries out what they want. */
@@ -114,8 +114,8 @@
         }
         if (action instanceof GroupAction.Refuse refuse) {
             pending(refuse.tryId())
-                    .ifPresent(
-                            pending -> endIfWaiting(pending, TryResult.refused(refuse.error(), refuse.retryAfter())));
+                    .ifPresent(pending ->
+                            endIfWaiting(pending, AttemptResult.refused(refuse.error(), refuse.retryAfter())));
             return;
         }
         if (action instanceof GroupAction.CancelOnServer cancel) {
@@ -125,12 +125,12 @@
         healthActions.perform(action);
     }
 
-    private Optional<PendingTry> pending(String tryId) {
+    private Optional<PendingAttempt> pending(String tryId) {
         return Optional.ofNullable(tries.get(tryId));
     }
 
     private void dispatch(GroupAction.Dispatch dispatch) {
-        Optional<PendingTry> pending = pending(dispatch.tryId());
+        Optional<PendingAttempt> pending = pending(dispatch.tryId());
         Optional<ServerSpec> server = server(dispatch.server());
         if (pending.isEmpty() || server.isEmpty()) {
             ErrorKind error = pending.isEmpty() ? ErrorKind.DEADLINE_BEFORE_RUN : ErrorKind.NO_SERVER;
@@ -140,7 +140,7 @@
         send(pending.get(), server.get());
     }
 
-    private void send(PendingTry pending, ServerSpec server) {
+    private void send(PendingAttempt pending, ServerSpec server) {
         String tryId = pending.request().tryId();
         boolean isSent = pending.send(() -> {
             BackendClient.Exchange exchange = backend.send(backendRequest(pending.request(), server));
@@ -148,12 +148,12 @@
             return exchange;
         });
         if (!isSent) {
-            on(new GroupEvent.TryEnded(
+            on(new GroupEvent.AttemptEnded(
                     tryId, Optional.empty(), Optional.of(ErrorKind.DEADLINE_BEFORE_RUN), ServerState.UNSTATED));
         }
     }
 
-    private static BackendRequest backendRequest(TryRequest request, ServerSpec server) {
+    private static BackendRequest backendRequest(AttemptRequest request, ServerSpec server) {
         return new BackendRequest(
                 request.tryId(),
                 server,
@@ -166,15 +166,15 @@
     }
 
     private void ended(String tryId, BackendResult result) {
-        PendingTry pending = tries.remove(tryId);
-        on(new GroupEvent.TryEnded(
+        PendingAttempt pending = tries.remove(tryId);
+        on(new GroupEvent.AttemptEnded(
                 tryId, result.answer().map(BackendResult.Answer::status), result.error(), result.serverState()));
         if (pending != null) {
-            pending.end(TryResult.of(result).withLoad(load()));
+            pending.end(AttemptResult.of(result).withLoad(load()));
         }
     }
 
-    private void endIfWaiting(PendingTry pending, TryResult outcome) {
+    private void endIfWaiting(PendingAttempt pending, AttemptResult outcome) {
         if (pending.endIfWaiting(outcome.withLoad(load()))) {
             tries.remove(pending.request().tryId());
         }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthPeers.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/HealthEvidenceExchange.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 
 /** Exchanges evidence on the health of backend servers with other VMs. */
-final class HealthPeers {
+final class HealthEvidenceExchange {
     /** The VMs that are asked whether they can reach a server. */
     private static final int WITNESSES = 2;
 
@@ -31,7 +31,8 @@
     private final Configuration.Source configuration;
     private final BackendClient backend;
 
-    HealthPeers(PeerExchange peers, FleetView.Source fleet, Configuration.Source configuration, BackendClient backend) {
+    HealthEvidenceExchange(
+            PeerExchange peers, FleetView.Source fleet, Configuration.Source configuration, BackendClient backend) {
         this.peers = peers;
         this.fleet = fleet;
         this.configuration = configuration;
@@ -42,7 +43,7 @@
     void register(LocalGroups groups) {
         peers.register(new ReachabilityReplyCodec());
         peers.register(new ReachabilityQueryCodec(), (sender, query, replies) -> answer(query, replies));
-        peers.register(new BaselineCodec(), (sender, baseline, replies) -> hear(sender, baseline, groups));
+        peers.register(new ServiceTimesMessageCodec(), (sender, baseline, replies) -> hear(sender, baseline, groups));
     }
 
     private void answer(ReachabilityQuery query, PeerExchange.Replies replies) {
@@ -55,10 +56,10 @@
                 .thenAccept(state -> replies.reply(new ReachabilityReply(query.server(), state.isPresent())));
     }
 
-    private static void hear(String sender, Baseline baseline, LocalGroups groups) {
+    private static void hear(String sender, ServiceTimesMessage baseline, LocalGroups groups) {
         groups.all().stream()
                 .filter(runtime -> runtime.name().service().equals(baseline.service()))
-                .forEach(runtime -> runtime.on(new GroupEvent.BaselineHeard(sender, baseline.usualNanos())));
+                .forEach(runtime -> runtime.on(new GroupEvent.ServiceTimesReceived(sender, baseline.usualNanos())));
     }
 
     /** Asks VMs of other data centres whether they can reach the server; the listener hears those that reply. */
@@ -94,6 +95,6 @@
                 .distinct()
                 .filter(vm -> !vm.id().equals(view.self().id()))
                 .toList();
-        owners.forEach(vm -> peers.send(vm, new Baseline(group.service(), usualNanos)));
+        owners.forEach(vm -> peers.send(vm, new ServiceTimesMessage(group.service(), usualNanos)));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PendingTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/PendingAttempt.java
@@ -1,8 +1,8 @@
 package io.coppershelf.admission.internal.runtime;
 
-import io.coppershelf.admission.GroupOwners.TryExchange;
-import io.coppershelf.admission.TryRequest;
-import io.coppershelf.admission.TryResult;
+import io.coppershelf.admission.AttemptRequest;
+import io.coppershelf.admission.AttemptResult;
+import io.coppershelf.admission.AttemptSender;
 import io.coppershelf.backend.BackendClient.Exchange;
 import java.time.Duration;
 import java.util.Optional;
@@ -14,25 +14,25 @@
  * A try at its owner: first waiting, then sent to a backend server, then ended. It is sent at most once, and never
  * after it ended.
  */
-final class PendingTry implements TryExchange {
-    private final TryRequest request;
-    private final Consumer<PendingTry> onCancel;
-    private final CompletableFuture<TryResult> result = new CompletableFuture<>();
+final class PendingAttempt implements AttemptSender.AttemptExchange {
+    private final AttemptRequest request;
+    private final Consumer<PendingAttempt> onCancel;
+    private final CompletableFuture<AttemptResult> result = new CompletableFuture<>();
     private boolean isWaiting = true;
     private Optional<Exchange> exchange = Optional.empty();
     private Optional<Duration> cancelLimit = Optional.empty();
 
-    PendingTry(TryRequest request, Consumer<PendingTry> onCancel) {
+    PendingAttempt(AttemptRequest request, Consumer<PendingAttempt> onCancel) {
         this.request = request;
         this.onCancel = onCancel;
     }
 
-    TryRequest request() {
+    AttemptRequest request() {
         return request;
     }
 
     @Override
-    public CompletableFuture<TryResult> result() {
+    public CompletableFuture<AttemptResult> result() {
         return result;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Ends the try if it still waits; returns whether it did. */
-    boolean endIfWaiting(TryResult outcome) {
+    boolean endIfWaiting(AttemptResult outcome) {
         synchronized (this) {
             if (!isWaiting) {
                 return false;
@@ -81,7 +81,7 @@
     }
 
     /** Ends the try after it was sent. */
-    void end(TryResult outcome) {
+    void end(AttemptResult outcome) {
         result.complete(outcome);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/Baseline.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ServiceTimesMessage.java
@@ -9,8 +9,8 @@
  * @param service the service
  * @param usualNanos the usual service time in nanoseconds by route
  */
-record Baseline(String service, Map<String, Long> usualNanos) implements PeerMessage {
-    Baseline {
+record ServiceTimesMessage(String service, Map<String, Long> usualNanos) implements PeerMessage {
+    ServiceTimesMessage {
         usualNanos = Map.copyOf(usualNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/BaselineCodec.java
+++ b/coppershelf/src/main/java/io/coppershelf/admission/internal/runtime/ServiceTimesMessageCodec.java
@@ -7,8 +7,8 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Reads and writes {@link Baseline}. */
-final class BaselineCodec implements PeerMessageCodec<Baseline> {
+/** Reads and writes {@link ServiceTimesMessage}. */
+final class ServiceTimesMessageCodec implements PeerMessageCodec<ServiceTimesMessage> {
     private static final int TYPE_ID = 60;
     private static final int MOST_ROUTES = 1_000;
 
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public Class<Baseline> type() {
-        return Baseline.class;
+    public Class<ServiceTimesMessage> type() {
+        return ServiceTimesMessage.class;
     }
 
     @Override
-    public void write(Baseline message, MessagePacker packer) throws IOException {
+    public void write(ServiceTimesMessage message, MessagePacker packer) throws IOException {
         packer.packString(message.service());
         packer.packMapHeader(message.usualNanos().size());
         for (Map.Entry<String, Long> entry : message.usualNanos().entrySet()) {
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public Baseline read(MessageUnpacker unpacker) throws IOException {
+    public ServiceTimesMessage read(MessageUnpacker unpacker) throws IOException {
         String service = unpacker.unpackString();
         int count = unpacker.unpackMapHeader();
         if (count > MOST_ROUTES) {
@@ -43,6 +43,6 @@
         for (int i = 0; i < count; i++) {
             usualNanos.put(unpacker.unpackString(), unpacker.unpackLong());
         }
-        return new Baseline(service, usualNanos);
+        return new ServiceTimesMessage(service, usualNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendClient.java
@@ -1,13 +1,13 @@
 package io.coppershelf.backend;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import io.coppershelf.ticket.ServerSpec;
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
 /** Sends tries to backend servers. Safe for use by several threads. */
 public interface BackendClient {
-    ServiceName<BackendClient> NAME = ServiceName.named("backend", BackendClient.class);
+    ComponentKey<BackendClient> NAME = ComponentKey.named("backend", BackendClient.class);
 
     /** Sends the try once; the future never completes exceptionally. */
     Exchange send(BackendRequest request);
--- a/coppershelf/src/main/java/io/coppershelf/backend/BackendPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/BackendComponent.java
@@ -1,9 +1,9 @@
 package io.coppershelf.backend;
 
 import io.coppershelf.backend.internal.HttpBackendClient;
-import io.coppershelf.backend.internal.HttpClients;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.backend.internal.HttpClientHolder;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.settings.Settings;
 import java.time.Duration;
@@ -11,12 +11,12 @@
 import java.util.concurrent.Executors;
 
 /** The part that sends to backend servers. */
-public final class BackendPart implements Part {
+public final class BackendComponent implements Component {
     private ExecutorService executor;
 
     /** Creates the part and sets the properties of the JDK's client, before its classes load. */
-    public BackendPart() {
-        HttpClients.applySystemProperties();
+    public BackendComponent() {
+        HttpClientHolder.applySystemProperties();
     }
 
     @Override
@@ -25,15 +25,15 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         int threads = registry.require(Settings.NAME).trafficThreads();
         executor = Executors.newFixedThreadPool(threads, task -> new Thread(task, "backend"));
         TimeSource time = registry.require(TimeSource.NAME);
-        registry.register(BackendClient.NAME, new HttpBackendClient(new HttpClients(executor, time), time));
+        registry.register(BackendClient.NAME, new HttpBackendClient(new HttpClientHolder(executor, time), time));
     }
 
     @Override
-    public void start(ServiceRegistry registry) {}
+    public void start(ComponentRegistry registry) {}
 
     @Override
     public void stop(Duration limit) {
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpTry.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpAttempt.java
@@ -22,11 +22,11 @@
  * One try on its way. Its result is set once: by the answer, by a failure, or by what the server says when asked to
  * cancel.
  */
-final class HttpTry implements BackendClient.Exchange {
+final class HttpAttempt implements BackendClient.Exchange {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final BackendRequest request;
-    private final HttpClients clients;
+    private final HttpClientHolder clients;
     private final ConnectionLimits connections;
     private final TimeSource time;
     private final CompletableFuture<BackendResult> result = new CompletableFuture<>();
@@ -35,7 +35,7 @@
     private final AnswerHandler handler;
     private volatile CompletableFuture<HttpResponse<byte[]>> http = new CompletableFuture<>();
 
-    HttpTry(BackendRequest request, HttpClients clients, ConnectionLimits connections, TimeSource time) {
+    HttpAttempt(BackendRequest request, HttpClientHolder clients, ConnectionLimits connections, TimeSource time) {
         this.request = request;
         this.clients = clients;
         this.connections = connections;
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpBackendClient.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpBackendClient.java
@@ -16,19 +16,19 @@
 public final class HttpBackendClient implements BackendClient {
     private static final int OK = 200;
 
-    private final HttpClients clients;
+    private final HttpClientHolder clients;
     private final TimeSource time;
     private final ConnectionLimits connections = new ConnectionLimits();
 
     /** Creates a client. */
-    public HttpBackendClient(HttpClients clients, TimeSource time) {
+    public HttpBackendClient(HttpClientHolder clients, TimeSource time) {
         this.clients = clients;
         this.time = time;
     }
 
     @Override
     public Exchange send(BackendRequest request) {
-        HttpTry httpTry = new HttpTry(request, clients, connections, time);
+        HttpAttempt httpTry = new HttpAttempt(request, clients, connections, time);
         httpTry.start();
         return httpTry;
     }
--- a/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClients.java
+++ b/coppershelf/src/main/java/io/coppershelf/backend/internal/HttpClientHolder.java
@@ -10,7 +10,7 @@
  * Holds the HTTP client in use. After an answer that belongs to another request the client is replaced, so that none of
  * its pooled connections is used again.
  */
-public final class HttpClients {
+public final class HttpClientHolder {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration REPLACE_INTERVAL = Duration.ofSeconds(1);
@@ -21,7 +21,7 @@
     private long replacedNanos;
 
     /** Creates the holder; exchanges complete on the executor. */
-    public HttpClients(Executor executor, TimeSource time) {
+    public HttpClientHolder(Executor executor, TimeSource time) {
         this.executor = executor;
         this.time = time;
         this.client = newClient();
--- a/coppershelf/src/main/java/io/coppershelf/belief/ServerBelief.java
+++ b/coppershelf/src/main/java/io/coppershelf/belief/HealthEstimate.java
@@ -10,7 +10,7 @@
  * @param atNanos the monotonic time of the last observation
  * @param failedNanos the monotonic time of the last bad observation, {@link Long#MIN_VALUE} before the first
  */
-public record ServerBelief(double sickness, long atNanos, long failedNanos) {
+public record HealthEstimate(double sickness, long atNanos, long failedNanos) {
     /** Mean time that a server stays sick, in seconds; gray failures of the workloads last several seconds. */
     static final double MEAN_SICK_SECONDS = 10;
     /** Mean time that a server stays well, in seconds; at any time up to a quarter of the servers fail grayly. */
@@ -33,16 +33,16 @@
     private static final double UNCERTAIN = 0.1;
 
     /** Returns the belief in a server without observations. */
-    public static ServerBelief initial(long nowNanos) {
-        return new ServerBelief(BASE_SICKNESS, nowNanos, Long.MIN_VALUE);
+    public static HealthEstimate initial(long nowNanos) {
+        return new HealthEstimate(BASE_SICKNESS, nowNanos, Long.MIN_VALUE);
     }
 
     /** Returns the belief after an observation. */
-    public ServerBelief after(Observation observation, long nowNanos) {
+    public HealthEstimate after(Observation observation, long nowNanos) {
         double before = unhealthyProbabilityAt(nowNanos);
         double odds = before / (1 - before) * observation.likelihoodRatio();
         double after = Math.min(HIGHEST, Math.max(LOWEST, odds / (1 + odds)));
-        return new ServerBelief(after, nowNanos, observation.isNegative() ? nowNanos : failedNanos);
+        return new HealthEstimate(after, nowNanos, observation.isNegative() ? nowNanos : failedNanos);
     }
 
     /** Returns the probability at a time; without observations it returns to the base. */
--- a/coppershelf/src/main/java/io/coppershelf/caller/CallerPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/CallerComponent.java
@@ -3,25 +3,25 @@
 import io.coppershelf.caller.internal.CallerServer;
 import io.coppershelf.caller.internal.CallerTimeouts;
 import io.coppershelf.caller.internal.ServerProperties;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
+import io.coppershelf.operator.OperatorRegistry;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.Optional;
 
 /** The part that takes callers' requests; the operator desk must be registered before {@link #register} is called. */
-public final class CallerPart implements Part {
+public final class CallerComponent implements Component {
     private final CallerTimeouts timeouts;
     private volatile Optional<CallerServer> server = Optional.empty();
 
     /** Creates the part and sets the properties of the JDK's server, before its classes load. */
-    public CallerPart() {
+    public CallerComponent() {
         this(CallerTimeouts.DEFAULT);
     }
 
     /** Creates a part with other timeouts. */
-    CallerPart(CallerTimeouts timeouts) {
+    CallerComponent(CallerTimeouts timeouts) {
         ServerProperties.apply();
         this.timeouts = timeouts;
     }
@@ -32,8 +32,8 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
-        registry.require(OperatorDesk.NAME).addReadiness(name(), this::isReady);
+    public void register(ComponentRegistry registry) {
+        registry.require(OperatorRegistry.NAME).addReadiness(name(), this::isReady);
     }
 
     private boolean isReady() {
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         server = Optional.of(CallerServer.start(registry, timeouts));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerServer.java
+++ b/coppershelf/src/main/java/io/coppershelf/caller/internal/CallerServer.java
@@ -2,9 +2,9 @@
 
 import com.google.common.flogger.FluentLogger;
 import com.sun.net.httpserver.HttpServer;
-import io.coppershelf.kernel.ServiceRegistry;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.TimeSource;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.outcome.CoppershelfException;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.routing.RequestPipeline;
@@ -51,11 +51,11 @@
     }
 
     /** Starts a server on the address of the settings. */
-    public static CallerServer start(ServiceRegistry registry, CallerTimeouts timeouts) {
+    public static CallerServer start(ComponentRegistry registry, CallerTimeouts timeouts) {
         Settings settings = registry.require(Settings.NAME);
         Configuration.Source configuration = registry.require(Configuration.Source.NAME);
         TimeSource time = registry.require(TimeSource.NAME);
-        OperatorDesk desk = registry.require(OperatorDesk.NAME);
+        OperatorRegistry desk = registry.require(OperatorRegistry.NAME);
         ThreadPoolExecutor readers = pool("caller-reader", settings.trafficThreads());
         ThreadPoolExecutor answers = pool("caller-answer", settings.trafficThreads());
         ScheduledThreadPoolExecutor timers =
--- a/coppershelf/src/main/java/io/coppershelf/catalog/Route.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/Route.java
@@ -25,7 +25,7 @@
         Duration objective,
         int rank,
         int maxServers,
-        List<RoutePart> parts) {
+        List<WeightedService> parts) {
     /** Copies the parts. */
     public Route {
         parts = List.copyOf(parts);
--- a/coppershelf/src/main/java/io/coppershelf/catalog/RoutePart.java
+++ b/coppershelf/src/main/java/io/coppershelf/catalog/WeightedService.java
@@ -6,4 +6,4 @@
  * @param service the name of the service that gets the share
  * @param weight the share in proportion to the weights of the other parts, not negative
  */
-public record RoutePart(String service, double weight) {}
+public record WeightedService(String service, double weight) {}
--- a/coppershelf/src/main/java/io/coppershelf/claim/ClaimPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/ClaimComponent.java
@@ -2,20 +2,20 @@
 
 import com.google.common.flogger.FluentLogger;
 import io.coppershelf.backend.BackendResult.Answer;
-import io.coppershelf.claim.internal.AttemptStatus;
 import io.coppershelf.claim.internal.ClaimLimits;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimCompletion;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimRequest;
 import io.coppershelf.claim.internal.ClaimRequester;
+import io.coppershelf.claim.internal.ClaimStatus;
 import io.coppershelf.claim.internal.ClaimTransfer;
 import io.coppershelf.claim.internal.HolderState;
 import io.coppershelf.claim.internal.RequestDigest;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.routing.InboundRequest;
@@ -24,7 +24,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Claims idempotency keys at their holders, and is a holder itself. */
-public final class ClaimPart implements Part, Claims {
+public final class ClaimComponent implements Component, Claims {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration TICK = Duration.ofMillis(500);
 
@@ -39,12 +39,12 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
+    public void register(ComponentRegistry registry) {
         registry.register(Claims.NAME, this);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         time = registry.require(TimeSource.NAME);
         ControlThread control = registry.require(ControlThread.NAME);
         PeerExchange peers = registry.require(PeerExchange.NAME);
@@ -57,7 +57,7 @@
         fleet.onChange(() -> transfer.onFleet(control));
         control.every(TICK, transfer::pullFromMissingPeers);
         control.every(ClaimLimits.SETTLING_TIME, () -> holder.prune(time.nanos()));
-        registry.find(OperatorDesk.NAME).ifPresent(this::describe);
+        registry.find(OperatorRegistry.NAME).ifPresent(this::describe);
         logger.atInfo().log("[claim] Started; accepts keys once its peers have told theirs.");
     }
 
@@ -68,9 +68,9 @@
     }
 
     @Override
-    public CompletableFuture<Verdict> claim(InboundRequest request) {
+    public CompletableFuture<Claims.ClaimResult> claim(InboundRequest request) {
         if (request.idempotencyKey().isEmpty()) {
-            return CompletableFuture.completedFuture(new Verdict.Claimed());
+            return CompletableFuture.completedFuture(new Claims.ClaimResult.Claimed());
         }
         long remainingMillis = Duration.ofNanos(Math.max(0, request.deadlineNanos() - time.nanos()))
                 .toMillis();
@@ -92,15 +92,15 @@
         return request.route().service() + "/" + request.idempotencyKey().orElseThrow();
     }
 
-    private static AttemptStatus status(Outcome outcome) {
+    private static ClaimStatus status(Outcome outcome) {
         return switch (outcome) {
-            case RUN -> AttemptStatus.RUN;
-            case NOT_RUN -> AttemptStatus.NOT_RUN;
-            case UNKNOWN -> AttemptStatus.UNKNOWN;
+            case RUN -> ClaimStatus.RUN;
+            case NOT_RUN -> ClaimStatus.NOT_RUN;
+            case UNKNOWN -> ClaimStatus.UNKNOWN;
         };
     }
 
-    private void describe(OperatorDesk desk) {
+    private void describe(OperatorRegistry desk) {
         desk.addReadiness("claims", () -> holder.isComplete(time.nanos()));
         desk.addStatus(status -> holder.describe(status.putObject("claims"), time.nanos()));
     }
--- a/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/Claims.java
@@ -1,7 +1,7 @@
 package io.coppershelf.claim;
 
 import io.coppershelf.backend.BackendResult.Answer;
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 import io.coppershelf.outcome.ErrorKind;
 import io.coppershelf.outcome.Outcome;
 import io.coppershelf.routing.InboundRequest;
@@ -10,10 +10,10 @@
 
 /** Claims idempotency keys over the fleet. Safe for use by several threads. */
 public interface Claims {
-    ServiceName<Claims> NAME = ServiceName.named("claim", Claims.class);
+    ComponentKey<Claims> NAME = ComponentKey.named("claim", Claims.class);
 
     /** Claims the key of a non-idempotent request before its first try; never completes exceptionally. */
-    CompletableFuture<Verdict> claim(InboundRequest request);
+    CompletableFuture<Claims.ClaimResult> claim(InboundRequest request);
 
     /**
      * Tells how the request of a claim ended, so that a repeat gets the same truth. After {@link Outcome#NOT_RUN} the
@@ -24,14 +24,14 @@
     void complete(InboundRequest request, Outcome outcome, Optional<Answer> answer);
 
     /** What a claim came to. */
-    sealed interface Verdict {
+    sealed interface ClaimResult {
         /** The key is claimed for this request; it may be sent. */
-        record Claimed() implements Verdict {}
+        record Claimed() implements Claims.ClaimResult {}
 
         /** The key was used before and this is the answer of that time. */
-        record Answered(Answer answer) implements Verdict {}
+        record Answered(Answer answer) implements Claims.ClaimResult {}
 
         /** The request must not be sent; the kind says why. */
-        record Rejected(ErrorKind error) implements Verdict {}
+        record Rejected(ErrorKind error) implements Claims.ClaimResult {}
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCodecs.java
@@ -49,7 +49,7 @@
                     out.packString(m.answer().verdict().name());
                     writeAnswer(m.answer().answer(), out);
                 },
-                in -> new ClaimReply(new HolderAnswer(readEnum(HolderAnswer.Verdict.values(), in), readAnswer(in))));
+                in -> new ClaimReply(new HolderDecision(readEnum(HolderDecision.Kind.values(), in), readAnswer(in))));
     }
 
     /** Returns the codec of {@link ClaimCompletion}. */
@@ -67,7 +67,7 @@
                         in.unpackString(),
                         readDigest(in),
                         in.unpackString(),
-                        readEnum(AttemptStatus.values(), in),
+                        readEnum(ClaimStatus.values(), in),
                         readAnswer(in)));
     }
 
@@ -109,7 +109,7 @@
                 in -> new ClaimPush(readList(ClaimCodecs::readAttempt, in)));
     }
 
-    private static void writeAttempt(TransferredAttempt attempt, MessagePacker out) throws IOException {
+    private static void writeAttempt(TransferredClaim attempt, MessagePacker out) throws IOException {
         out.packString(attempt.key()).packString(attempt.id());
         writeDigest(attempt.digest(), out);
         out.packString(attempt.status().name());
@@ -117,12 +117,12 @@
         out.packLong(attempt.overdueInNanos()).packLong(attempt.forgetInNanos());
     }
 
-    private static TransferredAttempt readAttempt(MessageUnpacker in) throws IOException {
-        return new TransferredAttempt(
+    private static TransferredClaim readAttempt(MessageUnpacker in) throws IOException {
+        return new TransferredClaim(
                 in.unpackString(),
                 in.unpackString(),
                 readDigest(in),
-                readEnum(AttemptStatus.values(), in),
+                readEnum(ClaimStatus.values(), in),
                 readAnswer(in),
                 in.unpackLong(),
                 in.unpackLong());
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimHistory.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimCoverage.java
@@ -17,7 +17,7 @@
  * <p>It can't before its pull at start is complete; nor, for some time after a change of the VM list, for the keys that
  * it was not a holder of before; nor, for one window, for keys whose holders were nearly all lost at once.
  */
-public final class ClaimHistory {
+public final class ClaimCoverage {
     /** The incarnation of a VM that only the platform's list has named so far. */
     private static final long INCARNATION_UNKNOWN = 0;
 
@@ -33,7 +33,7 @@
     private FleetView current;
 
     /** Returns the history of a VM that starts now. */
-    public ClaimHistory(FleetView view, long nowNanos) {
+    public ClaimCoverage(FleetView view, long nowNanos) {
         this.self = view.self().id();
         this.startNanos = nowNanos;
         this.current = view;
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimMessage.java
@@ -16,7 +16,7 @@
             implements ClaimMessage {}
 
     /** Answers a {@link ClaimRequest}. */
-    record ClaimReply(HolderAnswer answer) implements ClaimMessage {}
+    record ClaimReply(HolderDecision answer) implements ClaimMessage {}
 
     /**
      * Tells how an attempt ended.
@@ -24,7 +24,7 @@
      * @param answer the whole answer if it ran and is small enough to be kept
      */
     record ClaimCompletion(
-            String key, RequestDigest digest, String attempt, AttemptStatus status, Optional<Answer> answer)
+            String key, RequestDigest digest, String attempt, ClaimStatus status, Optional<Answer> answer)
             implements ClaimMessage {}
 
     /** Confirms a {@link ClaimCompletion} or a {@link ClaimPush}. */
@@ -46,10 +46,9 @@
      * @param knowing whether the sender knows the attempts that were made before it started
      * @param lost the VMs that the sender saw leave the list within the window without a handover
      */
-    record ClaimPage(
-            List<TransferredAttempt> attempts, String last, boolean complete, boolean knowing, List<String> lost)
+    record ClaimPage(List<TransferredClaim> attempts, String last, boolean complete, boolean knowing, List<String> lost)
             implements ClaimMessage {}
 
     /** Hands attempts to a VM that has become a holder of their keys. */
-    record ClaimPush(List<TransferredAttempt> attempts) implements ClaimMessage {}
+    record ClaimPush(List<TransferredClaim> attempts) implements ClaimMessage {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/Attempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRecord.java
@@ -13,17 +13,17 @@
  * @param overdueNanos when its end should be known by
  * @param forgetNanos when it is to be forgotten
  */
-record Attempt(
+record ClaimRecord(
         String id,
         RequestDigest digest,
-        AttemptStatus status,
+        ClaimStatus status,
         Optional<Answer> answer,
         long overdueNanos,
         long forgetNanos) {
     /** Returns the status for a repeat: the outcome of an attempt that is overdue counts as unknown. */
-    AttemptStatus status(long nowNanos) {
-        boolean overdue = status == AttemptStatus.RUNNING && nowNanos - overdueNanos >= 0;
-        return overdue ? AttemptStatus.UNKNOWN : status;
+    ClaimStatus status(long nowNanos) {
+        boolean overdue = status == ClaimStatus.RUNNING && nowNanos - overdueNanos >= 0;
+        return overdue ? ClaimStatus.UNKNOWN : status;
     }
 
     boolean isExpired(long nowNanos) {
@@ -35,11 +35,11 @@
     }
 
     /** Returns the attempt with the news of both; equal whatever the order in which they came. */
-    Attempt merge(Attempt other) {
-        Attempt newer = other.status.compareTo(status) > 0 ? other : this;
+    ClaimRecord merge(ClaimRecord other) {
+        ClaimRecord newer = other.status.compareTo(status) > 0 ? other : this;
         long forget = Math.max(forgetNanos, other.forgetNanos);
         long overdue = Math.max(overdueNanos, other.overdueNanos);
         Optional<Answer> kept = newer.answer.or(() -> answer).or(other::answer);
-        return new Attempt(id, digest, newer.status, kept, overdue, forget);
+        return new ClaimRecord(id, digest, newer.status, kept, overdue, forget);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRequester.java
@@ -1,6 +1,6 @@
 package io.coppershelf.claim.internal;
 
-import io.coppershelf.claim.Claims.Verdict;
+import io.coppershelf.claim.Claims;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimCompletion;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimConfirmation;
 import io.coppershelf.claim.internal.ClaimMessage.ClaimReply;
@@ -47,17 +47,17 @@
     }
 
     /** Claims the key; an attempt that does not get it is told to the holders as not run. */
-    public CompletableFuture<Verdict> claim(ClaimRequest request) {
+    public CompletableFuture<Claims.ClaimResult> claim(ClaimRequest request) {
         FleetView view = fleet.current();
-        List<String> ids = ClaimHistory.holders(view, request.key());
+        List<String> ids = ClaimCoverage.holders(view, request.key());
         ClaimRound round = new ClaimRound(ids);
-        CompletableFuture<Verdict> result = new CompletableFuture<>();
+        CompletableFuture<Claims.ClaimResult> result = new CompletableFuture<>();
         round.verdict().ifPresent(result::complete);
         for (String id : ids) {
             var unused = ask(view, id, request).thenAccept(answer -> onAnswer(round, id, answer, result));
         }
         return result.whenComplete((verdict, failure) -> {
-            if (!(verdict instanceof Verdict.Claimed)) {
+            if (!(verdict instanceof Claims.ClaimResult.Claimed)) {
                 complete(notRun(request));
             }
         });
@@ -66,10 +66,10 @@
     /** Tells the holders how the attempt ended, again until each has confirmed it. */
     public void complete(ClaimCompletion completion) {
         FleetView view = fleet.current();
-        ClaimHistory.holders(view, completion.key()).forEach(id -> tell(view, id, completion, 1));
+        ClaimCoverage.holders(view, completion.key()).forEach(id -> tell(view, id, completion, 1));
     }
 
-    private CompletableFuture<Optional<HolderAnswer>> ask(FleetView view, String id, ClaimRequest request) {
+    private CompletableFuture<Optional<HolderDecision>> ask(FleetView view, String id, ClaimRequest request) {
         if (id.equals(view.self().id())) {
             return CompletableFuture.completedFuture(Optional.of(holder.claim(request, time.nanos())));
         }
@@ -80,7 +80,7 @@
         return peers.request(target.get(), request, ClaimLimits.CLAIM_TIMEOUT).thenApply(ClaimRequester::answer);
     }
 
-    private static Optional<HolderAnswer> answer(PeerReply reply) {
+    private static Optional<HolderDecision> answer(PeerReply reply) {
         boolean answered = reply instanceof PeerReply.Received received && received.message() instanceof ClaimReply;
         return answered
                 ? Optional.of(((ClaimReply) ((PeerReply.Received) reply).message()).answer())
@@ -88,8 +88,11 @@
     }
 
     private static void onAnswer(
-            ClaimRound round, String id, Optional<HolderAnswer> answer, CompletableFuture<Verdict> result) {
-        Optional<Verdict> verdict;
+            ClaimRound round,
+            String id,
+            Optional<HolderDecision> answer,
+            CompletableFuture<Claims.ClaimResult> result) {
+        Optional<Claims.ClaimResult> verdict;
         synchronized (round) {
             verdict = answer.isPresent() ? round.onReply(id, answer.get()) : round.onNoReply(id);
         }
@@ -118,6 +121,6 @@
 
     private static ClaimCompletion notRun(ClaimRequest request) {
         return new ClaimCompletion(
-                request.key(), request.digest(), request.attempt(), AttemptStatus.NOT_RUN, Optional.empty());
+                request.key(), request.digest(), request.attempt(), ClaimStatus.NOT_RUN, Optional.empty());
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimRound.java
@@ -1,6 +1,6 @@
 package io.coppershelf.claim.internal;
 
-import io.coppershelf.claim.Claims.Verdict;
+import io.coppershelf.claim.Claims;
 import io.coppershelf.outcome.ErrorKind;
 import java.util.HashSet;
 import java.util.List;
@@ -14,7 +14,7 @@
     private final Set<String> open;
     private final Set<String> accepted = new HashSet<>();
     private final int quorum;
-    private Optional<Verdict> verdict = Optional.empty();
+    private Optional<Claims.ClaimResult> verdict = Optional.empty();
 
     /**
      * Returns a round that asks the given holders.
@@ -28,11 +28,11 @@
     }
 
     /** Takes in what a holder says; returns the verdict if this decides the round. */
-    public Optional<Verdict> onReply(String holder, HolderAnswer answer) {
+    public Optional<Claims.ClaimResult> onReply(String holder, HolderDecision answer) {
         if (verdict.isPresent() || !open.remove(holder)) {
             return Optional.empty();
         }
-        if (answer.verdict() == HolderAnswer.Verdict.ACCEPTED) {
+        if (answer.verdict() == HolderDecision.Kind.ACCEPTED) {
             accepted.add(holder);
         }
         verdict = decide(answer);
@@ -41,22 +41,23 @@
     }
 
     /** Takes in that a holder does not answer; returns the verdict if this decides the round. */
-    public Optional<Verdict> onNoReply(String holder) {
-        return onReply(holder, HolderAnswer.of(HolderAnswer.Verdict.NO_HISTORY));
+    public Optional<Claims.ClaimResult> onNoReply(String holder) {
+        return onReply(holder, HolderDecision.of(HolderDecision.Kind.NO_HISTORY));
     }
 
     /** Returns the verdict, empty while it is open. */
-    public Optional<Verdict> verdict() {
+    public Optional<Claims.ClaimResult> verdict() {
         return verdict;
     }
 
-    private Optional<Verdict> decide(HolderAnswer answer) {
+    private Optional<Claims.ClaimResult> decide(HolderDecision answer) {
         return switch (answer.verdict()) {
-            case ACCEPTED -> accepted.size() >= quorum ? Optional.of(new Verdict.Claimed()) : Optional.empty();
+            case ACCEPTED ->
+                accepted.size() >= quorum ? Optional.of(new Claims.ClaimResult.Claimed()) : Optional.empty();
             case RUN ->
                 Optional.of(answer.answer()
-                        .<Verdict>map(Verdict.Answered::new)
-                        .orElseGet(() -> new Verdict.Rejected(ErrorKind.KEY_ANSWER_NOT_KEPT)));
+                        .<Claims.ClaimResult>map(Claims.ClaimResult.Answered::new)
+                        .orElseGet(() -> new Claims.ClaimResult.Rejected(ErrorKind.KEY_ANSWER_NOT_KEPT)));
             case RUNNING -> rejected(ErrorKind.KEY_RUNNING);
             case UNKNOWN -> rejected(ErrorKind.KEY_OUTCOME_UNKNOWN);
             case REUSED -> rejected(ErrorKind.KEY_REUSED);
@@ -70,7 +71,7 @@
         }
     }
 
-    private static Optional<Verdict> rejected(ErrorKind kind) {
-        return Optional.of(new Verdict.Rejected(kind));
+    private static Optional<Claims.ClaimResult> rejected(ErrorKind kind) {
+        return Optional.of(new Claims.ClaimResult.Rejected(kind));
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/AttemptStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimStatus.java
@@ -1,7 +1,7 @@
 package io.coppershelf.claim.internal;
 
 /** What a holder knows of an attempt; a later constant replaces an earlier one, whatever the order of arrival. */
-public enum AttemptStatus {
+public enum ClaimStatus {
     /** Claimed; its end is not known yet. */
     RUNNING,
     /** It ended without anyone knowing whether it ran. */
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTable.java
@@ -1,7 +1,6 @@
 package io.coppershelf.claim.internal;
 
 import io.coppershelf.backend.BackendResult.Answer;
-import io.coppershelf.claim.internal.HolderAnswer.Verdict;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,7 +16,7 @@
  */
 public final class ClaimTable {
     private final int capacity;
-    private final TreeMap<String, Map<String, Attempt>> attempts = new TreeMap<>();
+    private final TreeMap<String, Map<String, ClaimRecord>> attempts = new TreeMap<>();
     private int size;
     private long answerBytes;
 
@@ -35,22 +34,25 @@
      *
      * @param remaining the time until the deadline of the attempt
      */
-    public HolderAnswer claim(String key, RequestDigest digest, String attempt, Duration remaining, long nowNanos) {
-        Map<String, Attempt> known = attempts.getOrDefault(key, Map.of());
-        Optional<HolderAnswer> obstacle = obstacle(known.values(), digest, attempt, nowNanos);
+    public HolderDecision claim(String key, RequestDigest digest, String attempt, Duration remaining, long nowNanos) {
+        Map<String, ClaimRecord> known = attempts.getOrDefault(key, Map.of());
+        Optional<HolderDecision> obstacle = obstacle(known.values(), digest, attempt, nowNanos);
         if (obstacle.isPresent()) {
             return obstacle.get();
         }
         if (known.containsKey(attempt)) {
-            boolean running = known.get(attempt).status(nowNanos) == AttemptStatus.RUNNING;
-            return HolderAnswer.of(running ? Verdict.ACCEPTED : Verdict.RUNNING);
+            boolean running = known.get(attempt).status(nowNanos) == ClaimStatus.RUNNING;
+            return HolderDecision.of(running ? HolderDecision.Kind.ACCEPTED : HolderDecision.Kind.RUNNING);
         }
         if (isFull(nowNanos)) {
-            return HolderAnswer.of(Verdict.FULL);
+            return HolderDecision.of(HolderDecision.Kind.FULL);
         }
         long overdue = nowNanos + remaining.toNanos() + ClaimLimits.COMPLETION_MARGIN.toNanos();
-        put(key, new Attempt(attempt, digest, AttemptStatus.RUNNING, Optional.empty(), overdue, forgetNanos(nowNanos)));
-        return HolderAnswer.of(Verdict.ACCEPTED);
+        put(
+                key,
+                new ClaimRecord(
+                        attempt, digest, ClaimStatus.RUNNING, Optional.empty(), overdue, forgetNanos(nowNanos)));
+        return HolderDecision.of(HolderDecision.Kind.ACCEPTED);
     }
 
     /**
@@ -62,15 +64,15 @@
             String key,
             RequestDigest digest,
             String attempt,
-            AttemptStatus status,
+            ClaimStatus status,
             Optional<Answer> answer,
             long nowNanos) {
-        put(key, new Attempt(attempt, digest, status, answer, nowNanos, forgetNanos(nowNanos)));
+        put(key, new ClaimRecord(attempt, digest, status, answer, nowNanos, forgetNanos(nowNanos)));
     }
 
     /** Takes in what another holder knows. */
-    public void merge(TransferredAttempt transferred, long nowNanos) {
-        Attempt attempt = transferred.toRecord(nowNanos);
+    public void merge(TransferredClaim transferred, long nowNanos) {
+        ClaimRecord attempt = transferred.toRecord(nowNanos);
         if (!attempt.isExpired(nowNanos)) {
             put(transferred.key(), attempt);
         }
@@ -83,10 +85,10 @@
      * @param wanted which keys to transfer
      */
     public Page page(String after, Predicate<String> wanted, long nowNanos) {
-        List<TransferredAttempt> page = new ArrayList<>();
+        List<TransferredClaim> page = new ArrayList<>();
         String last = after;
         long bytes = 0;
-        for (Map.Entry<String, Map<String, Attempt>> entry :
+        for (Map.Entry<String, Map<String, ClaimRecord>> entry :
                 attempts.tailMap(after, false).entrySet()) {
             if (page.size() >= ClaimLimits.PAGE_SIZE || bytes >= ClaimLimits.PAGE_BYTES) {
                 return new Page(page, last, false);
@@ -95,8 +97,8 @@
             if (!wanted.test(last)) {
                 continue;
             }
-            for (Attempt attempt : entry.getValue().values()) {
-                page.add(TransferredAttempt.of(last, attempt, nowNanos));
+            for (ClaimRecord attempt : entry.getValue().values()) {
+                page.add(TransferredClaim.of(last, attempt, nowNanos));
                 bytes += attempt.answerBytes();
             }
         }
@@ -126,25 +128,25 @@
         return answerBytes;
     }
 
-    private static Optional<HolderAnswer> obstacle(
-            Collection<Attempt> known, RequestDigest digest, String own, long nowNanos) {
-        List<Attempt> others = known.stream()
+    private static Optional<HolderDecision> obstacle(
+            Collection<ClaimRecord> known, RequestDigest digest, String own, long nowNanos) {
+        List<ClaimRecord> others = known.stream()
                 .filter(attempt -> !attempt.id().equals(own) && !attempt.isExpired(nowNanos))
-                .filter(attempt -> attempt.status() != AttemptStatus.NOT_RUN)
+                .filter(attempt -> attempt.status() != ClaimStatus.NOT_RUN)
                 .toList();
         if (others.stream().anyMatch(attempt -> !attempt.digest().equals(digest))) {
-            return Optional.of(HolderAnswer.of(Verdict.REUSED));
+            return Optional.of(HolderDecision.of(HolderDecision.Kind.REUSED));
         }
         return others.stream()
                 .max((a, b) -> a.status(nowNanos).compareTo(b.status(nowNanos)))
                 .map(attempt -> obstacle(attempt, nowNanos));
     }
 
-    private static HolderAnswer obstacle(Attempt attempt, long nowNanos) {
+    private static HolderDecision obstacle(ClaimRecord attempt, long nowNanos) {
         return switch (attempt.status(nowNanos)) {
-            case RUNNING -> HolderAnswer.of(Verdict.RUNNING);
-            case RUN -> new HolderAnswer(Verdict.RUN, attempt.answer());
-            default -> HolderAnswer.of(Verdict.UNKNOWN);
+            case RUNNING -> HolderDecision.of(HolderDecision.Kind.RUNNING);
+            case RUN -> new HolderDecision(HolderDecision.Kind.RUN, attempt.answer());
+            default -> HolderDecision.of(HolderDecision.Kind.UNKNOWN);
         };
     }
 
@@ -156,26 +158,26 @@
         return size >= capacity;
     }
 
-    private void put(String key, Attempt news) {
-        Map<String, Attempt> known = attempts.computeIfAbsent(key, name -> new TreeMap<>());
-        Attempt before = known.get(news.id());
-        Attempt after = before == null ? news : before.merge(news);
+    private void put(String key, ClaimRecord news) {
+        Map<String, ClaimRecord> known = attempts.computeIfAbsent(key, name -> new TreeMap<>());
+        ClaimRecord before = known.get(news.id());
+        ClaimRecord after = before == null ? news : before.merge(news);
         if (before != null) {
             uncount(before);
         }
-        Attempt kept = fits(after) ? after : withoutAnswer(after);
+        ClaimRecord kept = fits(after) ? after : withoutAnswer(after);
         known.put(kept.id(), kept);
         size++;
         answerBytes += kept.answerBytes();
     }
 
-    private boolean fits(Attempt attempt) {
+    private boolean fits(ClaimRecord attempt) {
         return attempt.answerBytes() <= ClaimLimits.LARGEST_KEPT_ANSWER
                 && answerBytes + attempt.answerBytes() <= ClaimLimits.LARGEST_ANSWER_BYTES;
     }
 
-    private static Attempt withoutAnswer(Attempt attempt) {
-        return new Attempt(
+    private static ClaimRecord withoutAnswer(ClaimRecord attempt) {
+        return new ClaimRecord(
                 attempt.id(),
                 attempt.digest(),
                 attempt.status(),
@@ -184,7 +186,7 @@
                 attempt.forgetNanos());
     }
 
-    private void uncount(Attempt attempt) {
+    private void uncount(ClaimRecord attempt) {
         size--;
         answerBytes -= attempt.answerBytes();
     }
@@ -200,5 +202,5 @@
      * @param last the last key that was looked at
      * @param complete whether nothing follows
      */
-    public record Page(List<TransferredAttempt> attempts, String last, boolean complete) {}
+    public record Page(List<TransferredClaim> attempts, String last, boolean complete) {}
 }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/ClaimTransfer.java
@@ -104,8 +104,8 @@
         if (!known) {
             return;
         }
-        replies.reply(
-                holder.page(pull.after(), key -> ClaimHistory.holders(view, key).contains(sender), time.nanos()));
+        replies.reply(holder.page(
+                pull.after(), key -> ClaimCoverage.holders(view, key).contains(sender), time.nanos()));
     }
 
     private void pull(String id, String after) {
@@ -140,8 +140,8 @@
 
     private void push(FleetView former, FleetView view) {
         var unused = pushAll(key -> {
-            List<String> added = new ArrayList<>(ClaimHistory.holders(view, key));
-            added.removeAll(ClaimHistory.holders(former, key));
+            List<String> added = new ArrayList<>(ClaimCoverage.holders(view, key));
+            added.removeAll(ClaimCoverage.holders(former, key));
             added.remove(view.self().id());
             return added;
         });
@@ -159,8 +159,8 @@
     }
 
     private List<CompletableFuture<PeerReply>> pushPage(ClaimPage page, Function<String, List<String>> targets) {
-        Map<String, List<TransferredAttempt>> byTarget = new TreeMap<>();
-        for (TransferredAttempt attempt : page.attempts()) {
+        Map<String, List<TransferredClaim>> byTarget = new TreeMap<>();
+        for (TransferredClaim attempt : page.attempts()) {
             for (String target : targets.apply(attempt.key())) {
                 byTarget.computeIfAbsent(target, id -> new ArrayList<>()).add(attempt);
             }
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderAnswer.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderDecision.java
@@ -9,14 +9,14 @@
  * @param verdict its verdict
  * @param answer the whole answer of the earlier attempt, if it ran and the answer is kept
  */
-public record HolderAnswer(Verdict verdict, Optional<Answer> answer) {
+public record HolderDecision(HolderDecision.Kind verdict, Optional<Answer> answer) {
     /** Returns an answer without the answer of an earlier attempt. */
-    public static HolderAnswer of(Verdict verdict) {
-        return new HolderAnswer(verdict, Optional.empty());
+    public static HolderDecision of(HolderDecision.Kind verdict) {
+        return new HolderDecision(verdict, Optional.empty());
     }
 
     /** The verdicts of a holder. */
-    public enum Verdict {
+    public enum Kind {
         /** The key is claimed for this attempt. */
         ACCEPTED,
         /** Another attempt runs. */
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/HolderState.java
@@ -15,17 +15,17 @@
  */
 public final class HolderState {
     private final ClaimTable table = new ClaimTable(ClaimLimits.MOST_ATTEMPTS);
-    private final ClaimHistory history;
+    private final ClaimCoverage history;
 
     /** Returns the state of a holder that starts now. */
     public HolderState(FleetView view, long nowNanos) {
-        history = new ClaimHistory(view, nowNanos);
+        history = new ClaimCoverage(view, nowNanos);
     }
 
     /** Decides on a claim. */
-    public synchronized HolderAnswer claim(ClaimRequest request, long nowNanos) {
+    public synchronized HolderDecision claim(ClaimRequest request, long nowNanos) {
         if (!history.covers(request.key(), nowNanos)) {
-            return HolderAnswer.of(HolderAnswer.Verdict.NO_HISTORY);
+            return HolderDecision.of(HolderDecision.Kind.NO_HISTORY);
         }
         return table.claim(
                 request.key(),
@@ -47,7 +47,7 @@
     }
 
     /** Takes in what another holder knows. */
-    public synchronized void merge(List<TransferredAttempt> attempts, long nowNanos) {
+    public synchronized void merge(List<TransferredClaim> attempts, long nowNanos) {
         attempts.forEach(attempt -> table.merge(attempt, nowNanos));
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/claim/internal/TransferredAttempt.java
+++ b/coppershelf/src/main/java/io/coppershelf/claim/internal/TransferredClaim.java
@@ -14,16 +14,16 @@
  * @param overdueInNanos the time until its end should be known by
  * @param forgetInNanos the time until it is to be forgotten
  */
-public record TransferredAttempt(
+public record TransferredClaim(
         String key,
         String id,
         RequestDigest digest,
-        AttemptStatus status,
+        ClaimStatus status,
         Optional<Answer> answer,
         long overdueInNanos,
         long forgetInNanos) {
-    static TransferredAttempt of(String key, Attempt attempt, long nowNanos) {
-        return new TransferredAttempt(
+    static TransferredClaim of(String key, ClaimRecord attempt, long nowNanos) {
+        return new TransferredClaim(
                 key,
                 attempt.id(),
                 attempt.digest(),
@@ -33,7 +33,7 @@
                 attempt.forgetNanos() - nowNanos);
     }
 
-    Attempt toRecord(long nowNanos) {
-        return new Attempt(id, digest, status, answer, nowNanos + overdueInNanos, nowNanos + forgetInNanos);
+    ClaimRecord toRecord(long nowNanos) {
+        return new ClaimRecord(id, digest, status, answer, nowNanos + overdueInNanos, nowNanos + forgetInNanos);
     }
 }
--- a/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/Addresses.java
@@ -1,7 +1,7 @@
 package io.coppershelf.cli;
 
 import io.coppershelf.cli.internal.DaemonAddress;
-import io.coppershelf.cli.internal.Fleet;
+import io.coppershelf.cli.internal.FleetDiscovery;
 import io.coppershelf.cli.internal.OperatorClient;
 import java.util.List;
 
@@ -31,7 +31,7 @@
     static List<DaemonAddress> parseAll(String text, boolean isFleet, OperatorClient client) {
         try {
             List<DaemonAddress> given = DaemonAddress.parseList(text);
-            return isFleet ? Fleet.expand(given, client) : given;
+            return isFleet ? FleetDiscovery.expand(given, client) : given;
         } catch (IllegalArgumentException e) {
             throw new UsageException(e.getMessage());
         }
--- a/coppershelf/src/main/java/io/coppershelf/cli/ExplainCommand.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/ExplainCommand.java
@@ -6,7 +6,7 @@
 import com.github.rvesse.airline.annotations.help.ExitCodes;
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import io.coppershelf.cli.internal.LogLine;
-import io.coppershelf.cli.internal.RequestStory;
+import io.coppershelf.cli.internal.RequestTrace;
 import io.coppershelf.outcome.CoppershelfException;
 import io.coppershelf.outcome.ErrorKind;
 import java.io.BufferedReader;
@@ -54,14 +54,14 @@
                 throw CoppershelfException.causedBy(ErrorKind.INTERNAL, "can't read " + file + ": " + e, e);
             }
         }
-        List<LogLine> story = RequestStory.of(request, lines);
+        List<LogLine> story = RequestTrace.of(request, lines);
         if (story.isEmpty()) {
             console.err().println("coppershelf: no line is about request " + request);
             return ExitCode.FAILED;
         }
         story.forEach(line -> console.out().println(isJson ? line.json() : line.text()));
         if (!isJson) {
-            console.out().println(RequestStory.cause(request, story));
+            console.out().println(RequestTrace.cause(request, story));
         }
         return ExitCode.OK;
     }
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/Fleet.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/FleetDiscovery.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /** Finds the daemons of a fleet from some of them. */
-public final class Fleet {
-    private Fleet() {}
+public final class FleetDiscovery {
+    private FleetDiscovery() {}
 
     /** Returns the given daemons and all that the first of them which answers counts as live. */
     public static List<DaemonAddress> expand(List<DaemonAddress> known, OperatorClient client) {
--- a/coppershelf/src/main/java/io/coppershelf/cli/internal/RequestStory.java
+++ b/coppershelf/src/main/java/io/coppershelf/cli/internal/RequestTrace.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /** Picks the lines that explain a request: its own, and what was believed of its servers around it. */
-public final class RequestStory {
+public final class RequestTrace {
     /** How long before and after a request a changed belief about its servers may explain it. */
     private static final long SURROUNDING_MILLIS = 3000;
 
-    private RequestStory() {}
+    private RequestTrace() {}
 
     /** Returns the lines in order of time; empty if none is about the request. */
     public static List<LogLine> of(String request, Collection<LogLine> lines) {
--- a/coppershelf/src/main/java/io/coppershelf/daemon/Daemon.java
+++ b/coppershelf/src/main/java/io/coppershelf/daemon/Daemon.java
@@ -1,12 +1,12 @@
 package io.coppershelf.daemon;
 
 import com.google.common.flogger.FluentLogger;
-import io.coppershelf.caller.CallerPart;
+import io.coppershelf.caller.CallerComponent;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
 import io.coppershelf.kernel.TimeSource;
-import io.coppershelf.kernel.internal.Kernel;
+import io.coppershelf.kernel.internal.ComponentManager;
 import io.coppershelf.kernel.internal.SingleControlThread;
 import io.coppershelf.membership.LeaveNotice;
 import io.coppershelf.settings.Settings;
@@ -28,18 +28,18 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int EXIT_OK = 0;
 
-    private final ServiceRegistry registry;
-    private final Kernel kernel;
+    private final ComponentRegistry registry;
+    private final ComponentManager kernel;
     private final SingleControlThread control;
-    private final CallerPart caller;
+    private final CallerComponent caller;
     private final Duration stopLimit;
     private boolean isStopped;
 
     private Daemon(
-            ServiceRegistry registry,
-            Kernel kernel,
+            ComponentRegistry registry,
+            ComponentManager kernel,
             SingleControlThread control,
-            CallerPart caller,
+            CallerComponent caller,
             Duration stopLimit) {
         this.registry = registry;
         this.kernel = kernel;
@@ -50,20 +50,20 @@
 
     /** Starts all parts. */
     public static Daemon start(Settings settings) {
-        CallerPart caller = new CallerPart();
-        return start(settings, DaemonParts.beforeCaller(), caller);
+        CallerComponent caller = new CallerComponent();
+        return start(settings, DaemonComponents.beforeCaller(), caller);
     }
 
     /** Starts the given parts and, after them, the one for callers. */
-    static Daemon start(Settings settings, List<Part> parts, CallerPart caller) {
+    static Daemon start(Settings settings, List<Component> parts, CallerComponent caller) {
         SingleControlThread control = new SingleControlThread();
-        ServiceRegistry registry = new ServiceRegistry();
+        ComponentRegistry registry = new ComponentRegistry();
         registry.register(Settings.NAME, settings);
         registry.register(TimeSource.NAME, TimeSource.system());
         registry.register(ControlThread.NAME, control);
-        List<Part> all = new ArrayList<>(parts);
+        List<Component> all = new ArrayList<>(parts);
         all.add(caller);
-        Kernel kernel = new Kernel(registry, all);
+        ComponentManager kernel = new ComponentManager(registry, all);
         try {
             kernel.start();
         } catch (RuntimeException e) {
@@ -87,10 +87,10 @@
      *
      * @param first the parts to start first
      */
-    public static void runUntilTerminated(Settings settings, List<Part> first) throws InterruptedException {
-        List<Part> parts = new ArrayList<>(first);
-        parts.addAll(DaemonParts.beforeCaller());
-        Daemon daemon = start(settings, parts, new CallerPart());
+    public static void runUntilTerminated(Settings settings, List<Component> first) throws InterruptedException {
+        List<Component> parts = new ArrayList<>(first);
+        parts.addAll(DaemonComponents.beforeCaller());
+        Daemon daemon = start(settings, parts, new CallerComponent());
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChoice.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/AttemptAllocator.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** Chooses servers for one request. */
-public interface ServerChoice {
+public interface AttemptAllocator {
     /**
      * Returns the best server whose id is not excluded.
      *
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/RetryBudget.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/FleetRetryBudget.java
@@ -9,7 +9,7 @@
  * ratio applies to the requests that it took itself, and the fixed part is divided by the number of VMs. The shares add
  * up to less than the limit, also while the views of the membership differ somewhat. Not safe for several threads.
  */
-public final class RetryBudget {
+public final class FleetRetryBudget {
     /** The part of the fleet's limit that is used; the rest covers VMs that see fewer peers than there are. */
     private static final double USED_SHARE = 0.8;
     /** The number of buckets of a window; the window slides by one bucket. */
@@ -27,7 +27,7 @@
      * @param fixedPerWindow repeats of the whole fleet in each window besides
      * @param window the length of the window
      */
-    public RetryBudget(double ratio, double fixedPerWindow, Duration window) {
+    public FleetRetryBudget(double ratio, double fixedPerWindow, Duration window) {
         this.ratio = ratio;
         this.fixedPerWindow = fixedPerWindow;
         bucketNanos = window.toNanos() / BUCKETS;
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServiceSpread.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/IdleServerTracker.java
@@ -12,7 +12,7 @@
  * that no sound server stays idle while others fail or are lost, and a server that has recovered is found. Which server
  * had a request last is noted for the whole fleet. One thread changes it; any thread reads.
  */
-public final class ServiceSpread {
+public final class IdleServerTracker {
     /** The share of the servers that stay in use; above the floor of seven tenths, as some of them may be down. */
     private static final double USED_SHARE = 0.85;
     /**
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/RequestPlan.java
@@ -32,7 +32,7 @@
     }
 
     private final Route route;
-    private final ServerChoice choice;
+    private final AttemptAllocator choice;
     private final long deadlineNanos;
     private final long slowNanos;
     private final long stallNanos;
@@ -46,7 +46,7 @@
      * @param deadlineNanos when the caller has to have an answer
      * @param latency the usual times of the route
      */
-    public RequestPlan(Route route, ServerChoice choice, long deadlineNanos, TypicalLatency latency) {
+    public RequestPlan(Route route, AttemptAllocator choice, long deadlineNanos, TypicalLatency latency) {
         this.route = route;
         this.choice = choice;
         this.deadlineNanos = deadlineNanos;
@@ -55,53 +55,53 @@
     }
 
     /** The request is to be sent for the first time. */
-    public List<Step> start(long nowNanos) {
+    public List<PlanStep> start(long nowNanos) {
         return sendOrEnd("first", nowNanos);
     }
 
     /** No connection could be established, so the server has seen nothing of the request. */
-    public List<Step> notSent(int attempt, long nowNanos) {
+    public List<PlanStep> notSent(int attempt, long nowNanos) {
         return ended(attempt, AttemptState.NOT_SENT, nowNanos);
     }
 
     /** The server refused the request and stated that it has not run and will not. */
-    public List<Step> notRun(int attempt, long nowNanos) {
+    public List<PlanStep> notRun(int attempt, long nowNanos) {
         return ended(attempt, AttemptState.NOT_RUN, nowNanos);
     }
 
     /** The connection ended or brought no valid answer; the request may have run. */
-    public List<Step> lost(int attempt, long nowNanos) {
+    public List<PlanStep> lost(int attempt, long nowNanos) {
         return ended(attempt, AttemptState.LOST, nowNanos);
     }
 
     /** The server answered with a failure of its own. */
-    public List<Step> failed(int attempt, long nowNanos) {
+    public List<PlanStep> failed(int attempt, long nowNanos) {
         return ended(attempt, AttemptState.FAILED, nowNanos);
     }
 
     /** The server answered, and the answer is no failure. */
-    public List<Step> answered(int attempt) {
+    public List<PlanStep> answered(int attempt) {
         if (isEnded) {
             return List.of();
         }
         isEnded = true;
-        return List.of(new Step.Deliver(attempt));
+        return List.of(new PlanStep.Deliver(attempt));
     }
 
     /** The time {@link #nextTimer} was reached. */
-    public List<Step> timerExpired(long nowNanos) {
+    public List<PlanStep> timerExpired(long nowNanos) {
         if (isEnded) {
             return List.of();
         }
         if (nowNanos - deadlineNanos >= 0) {
             return end(nowNanos);
         }
-        List<Step> steps = new ArrayList<>();
+        List<PlanStep> steps = new ArrayList<>();
         for (int i = 0; i < attempts.size(); i++) {
             Attempt attempt = attempts.get(i);
             if (attempt.state == AttemptState.RUNNING && !attempt.isStalled && attempt.age(nowNanos) >= stallNanos) {
                 attempt.isStalled = true;
-                steps.add(new Step.ReportStall(i));
+                steps.add(new PlanStep.ReportStall(i));
             }
         }
         if (isHedgeDue(nowNanos)) {
@@ -146,7 +146,7 @@
                 && last.age(nowNanos) >= slowNanos;
     }
 
-    private List<Step> ended(int number, AttemptState state, long nowNanos) {
+    private List<PlanStep> ended(int number, AttemptState state, long nowNanos) {
         Attempt attempt = attempts.get(number);
         if (isEnded || attempt.state != AttemptState.RUNNING) {
             return List.of();
@@ -162,14 +162,14 @@
         return sendOrEnd(state == AttemptState.NOT_SENT ? "no-connection" : "failed", nowNanos);
     }
 
-    private List<Step> sendOrEnd(String reason, long nowNanos) {
+    private List<PlanStep> sendOrEnd(String reason, long nowNanos) {
         if (nowNanos - deadlineNanos >= 0) {
             return end(nowNanos);
         }
         return repeat(reason, nowNanos).map(List::of).orElseGet(() -> end(nowNanos));
     }
 
-    private Optional<Step> repeat(String reason, long nowNanos) {
+    private Optional<PlanStep> repeat(String reason, long nowNanos) {
         int reached = serversReached();
         if (reached >= route.maxServers() || attempts.size() - reached >= MAX_CONNECTION_FAILURES) {
             return Optional.empty();
@@ -180,7 +180,7 @@
         }
         usedServers.add(server.get().id());
         attempts.add(new Attempt(nowNanos));
-        return Optional.of(new Step.Send(attempts.size() - 1, server.get(), reason));
+        return Optional.of(new PlanStep.Send(attempts.size() - 1, server.get(), reason));
     }
 
     private boolean isLastChance(int reached) {
@@ -188,29 +188,29 @@
     }
 
     /** Ends the request with the best answer that is true. */
-    private List<Step> end(long nowNanos) {
+    private List<PlanStep> end(long nowNanos) {
         isEnded = true;
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).state == AttemptState.FAILED) {
-                return List.of(new Step.Deliver(i));
+                return List.of(new PlanStep.Deliver(i));
             }
         }
         return List.of(failure(nowNanos));
     }
 
-    private Step failure(long nowNanos) {
+    private PlanStep failure(long nowNanos) {
         boolean mayHaveRun = attempts.stream()
                 .anyMatch(attempt -> attempt.state == AttemptState.RUNNING || attempt.state == AttemptState.LOST);
         boolean isLate = nowNanos - deadlineNanos >= 0;
         if (mayHaveRun) {
             ErrorKind kind = isLate ? ErrorKind.DEADLINE_PASSED : ErrorKind.SERVER_LOST;
-            return new Step.Fail(kind, isLate ? "no answer in time" : "the answer was lost", Optional.empty());
+            return new PlanStep.Fail(kind, isLate ? "no answer in time" : "the answer was lost", Optional.empty());
         }
         if (attempts.stream().anyMatch(attempt -> attempt.state == AttemptState.NOT_RUN)) {
-            return new Step.Fail(
+            return new PlanStep.Fail(
                     ErrorKind.SERVER_REFUSED, "all servers asked were full", Optional.of(SHORT_RETRY_AFTER));
         }
-        return new Step.Fail(ErrorKind.NO_SERVER, "no server could be reached", Optional.of(LONG_RETRY_AFTER));
+        return new PlanStep.Fail(ErrorKind.NO_SERVER, "no server could be reached", Optional.of(LONG_RETRY_AFTER));
     }
 
     private long running() {
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerChooser.java
@@ -1,7 +1,7 @@
 package io.coppershelf.dispatch;
 
-import io.coppershelf.belief.BeliefTable;
-import io.coppershelf.belief.ServerBelief;
+import io.coppershelf.belief.HealthEstimate;
+import io.coppershelf.belief.HealthEstimates;
 import io.coppershelf.catalog.BackendServer;
 import io.coppershelf.catalog.RequestKind;
 import io.coppershelf.catalog.ServerList;
@@ -44,11 +44,11 @@
     private static final double JITTER_LOSS = 0.01;
 
     private final String dataCentre;
-    private final BeliefTable beliefs;
+    private final HealthEstimates beliefs;
     private final FleetLoad fleetLoad;
-    private final ServiceSpread spread;
+    private final IdleServerTracker spread;
     private final Random random;
-    private final Map<String, ServerUse> uses = new HashMap<>();
+    private final Map<String, ServerStats> uses = new HashMap<>();
 
     /**
      * Creates a chooser without knowledge of loads.
@@ -59,7 +59,7 @@
      * @param spread keeps the floor of servers in use
      */
     public ServerChooser(
-            String dataCentre, BeliefTable beliefs, FleetLoad fleetLoad, ServiceSpread spread, Random random) {
+            String dataCentre, HealthEstimates beliefs, FleetLoad fleetLoad, IdleServerTracker spread, Random random) {
         this.dataCentre = dataCentre;
         this.beliefs = beliefs;
         this.fleetLoad = fleetLoad;
@@ -68,12 +68,12 @@
     }
 
     /** Returns what is known of the use of a server; nothing is known of a new incarnation. */
-    public ServerUse stats(BackendServer server) {
-        ServerUse known = uses.get(server.id());
+    public ServerStats stats(BackendServer server) {
+        ServerStats known = uses.get(server.id());
         if (known != null && known.isOf(server)) {
             return known;
         }
-        ServerUse created = new ServerUse(server);
+        ServerStats created = new ServerStats(server);
         uses.put(server.id(), created);
         return created;
     }
@@ -113,7 +113,7 @@
     }
 
     private double busy(BackendServer server, long nowNanos) {
-        ServerUse use = stats(server);
+        ServerStats use = stats(server);
         return use.estimatedLoad(fleetLoad.inFlightOfOthers(use.code()), nowNanos);
     }
 
@@ -136,7 +136,7 @@
 
     /** Returns what the choice of a server goes by at this time. */
     public ChoiceInputs inputs(BackendServer server, long nowNanos) {
-        ServerBelief belief = beliefs.estimate(stats(server).key(), nowNanos);
+        HealthEstimate belief = beliefs.estimate(stats(server).key(), nowNanos);
         return new ChoiceInputs(
                 belief.unhealthyProbabilityAt(nowNanos),
                 Duration.ofNanos(Math.max(0, nowNanos - belief.atNanos())),
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/ServerUse.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/ServerStats.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** What this VM knows of the load of one server and of the path to it. Not safe for several threads. */
-public final class ServerUse {
+public final class ServerStats {
     /** How long a reported load is of any worth; requests last some hundred milliseconds. */
     private static final double REPORT_LIFE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
     /** First time for which a server is avoided after a failed connection attempt. */
@@ -22,7 +22,7 @@
     private long avoidUntilNanos;
     private int failuresInRow;
 
-    ServerUse(BackendServer server) {
+    ServerStats(BackendServer server) {
         bornMillis = server.bornMillis();
         key = server.key();
         code = FleetLoad.codeOf(key);
--- a/coppershelf/src/main/java/io/coppershelf/dispatch/WeightedSplit.java
+++ b/coppershelf/src/main/java/io/coppershelf/dispatch/WeightedRoundRobin.java
@@ -1,7 +1,7 @@
 package io.coppershelf.dispatch;
 
 import io.coppershelf.catalog.Route;
-import io.coppershelf.catalog.RoutePart;
+import io.coppershelf.catalog.WeightedService;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +11,7 @@
  * Shares the requests of a route among its parts by their weights, with smooth weighted round robin. It starts at a
  * random point, so that many VMs with few requests each keep to the weights together. Not safe for several threads.
  */
-public final class WeightedSplit {
+public final class WeightedRoundRobin {
     /** Routes that are remembered at most; beyond it all start anew, which costs one request's evenness each. */
     private static final int MOST_TURNS = 4096;
 
@@ -19,13 +19,13 @@
     private final Map<String, Turn> turns = new HashMap<>();
 
     /** Creates a split whose starting points come from the random source. */
-    public WeightedSplit(Random random) {
+    public WeightedRoundRobin(Random random) {
         this.random = random;
     }
 
     /** Returns the service that gets the next request of the route. */
     public String next(Route route) {
-        List<RoutePart> parts = route.parts();
+        List<WeightedService> parts = route.parts();
         if (parts.size() == 1) {
             return parts.get(0).service();
         }
@@ -41,14 +41,14 @@
     }
 
     private static final class Turn {
-        private final List<RoutePart> parts;
+        private final List<WeightedService> parts;
         private final double[] credits;
         private final double total;
 
-        Turn(List<RoutePart> parts, Random random) {
+        Turn(List<WeightedService> parts, Random random) {
             this.parts = parts;
             credits = new double[parts.size()];
-            total = parts.stream().mapToDouble(RoutePart::weight).sum();
+            total = parts.stream().mapToDouble(WeightedService::weight).sum();
             for (int i = 0; i < credits.length; i++) {
                 credits[i] = random.nextDouble() * total;
             }
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/JsonEventLog.java
@@ -29,8 +29,8 @@
 
     private final BlockingQueue<Line> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
     private final AtomicLong dropped = new AtomicLong();
-    private final RateLimit routineRate = new RateLimit(ROUTINE_LINES_PER_SECOND);
-    private final RateLimit importantRate = new RateLimit(IMPORTANT_LINES_PER_SECOND);
+    private final RateLimiter routineRate = new RateLimiter(ROUTINE_LINES_PER_SECOND);
+    private final RateLimiter importantRate = new RateLimiter(IMPORTANT_LINES_PER_SECOND);
     private final JsonFactory json = new JsonFactory();
     private final OutputStream out;
     private final String vm;
--- a/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimit.java
+++ b/coppershelf/src/main/java/io/coppershelf/eventlog/RateLimiter.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** Allows a number of events in each second. */
-final class RateLimit {
+final class RateLimiter {
     private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final int perSecond;
     private long secondStartNanos = System.nanoTime();
     private int taken;
 
-    RateLimit(int perSecond) {
+    RateLimiter(int perSecond) {
         this.perSecond = perSecond;
     }
 
--- a/coppershelf/src/main/java/io/coppershelf/floor/StandingScan.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/CandidacyScan.java
@@ -8,7 +8,7 @@
  * Goes through the services a few at a time after each change of the fleet or the configuration, so that a daemon finds
  * out of which services it should be the granter without ranking all of them at once.
  */
-final class StandingScan {
+final class CandidacyScan {
     private static final int RANKED_VMS_PER_TICK = 10_000;
 
     private int position;
--- a/coppershelf/src/main/java/io/coppershelf/floor/EjectionRights.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/EjectionGrants.java
@@ -1,10 +1,10 @@
 package io.coppershelf.floor;
 
-import io.coppershelf.kernel.ServiceName;
+import io.coppershelf.kernel.ComponentKey;
 
 /** Where the owner of a server group asks for the right to eject. Safe for use by several threads. */
-public interface EjectionRights {
-    ServiceName<EjectionRights> NAME = ServiceName.named("floor", EjectionRights.class);
+public interface EjectionGrants {
+    ComponentKey<EjectionGrants> NAME = ComponentKey.named("floor", EjectionGrants.class);
 
     /** Asks for the right to eject the server, or renews it; the listener hears the verdict. */
     void request(String service, String server, Listener listener);
--- a/coppershelf/src/main/java/io/coppershelf/floor/FloorPart.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/FloorComponent.java
@@ -5,12 +5,12 @@
 import io.coppershelf.floor.internal.FloorCodecs;
 import io.coppershelf.floor.internal.FloorMessage;
 import io.coppershelf.floor.internal.FloorNode;
+import io.coppershelf.kernel.Component;
+import io.coppershelf.kernel.ComponentRegistry;
 import io.coppershelf.kernel.ControlThread;
-import io.coppershelf.kernel.Part;
-import io.coppershelf.kernel.ServiceRegistry;
 import io.coppershelf.kernel.TimeSource;
 import io.coppershelf.membership.FleetView;
-import io.coppershelf.operator.OperatorDesk;
+import io.coppershelf.operator.OperatorRegistry;
 import io.coppershelf.operator.Timeline;
 import io.coppershelf.peer.PeerExchange;
 import io.coppershelf.peer.PeerMessageCodec;
@@ -22,12 +22,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** Drives the floor's state machine on the control thread and offers the ejection rights. */
-public final class FloorPart implements Part, EjectionRights {
+public final class FloorComponent implements Component, EjectionGrants {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration TICK = Duration.ofMillis(100);
 
     private final Map<RightKey, Listener> listeners = new ConcurrentHashMap<>();
-    private final StandingScan scan = new StandingScan();
+    private final CandidacyScan scan = new CandidacyScan();
     private ControlThread control;
     private TimeSource time;
     private PeerExchange peers;
@@ -42,12 +42,12 @@
     }
 
     @Override
-    public void register(ServiceRegistry registry) {
-        registry.register(EjectionRights.NAME, this);
+    public void register(ComponentRegistry registry) {
+        registry.register(EjectionGrants.NAME, this);
     }
 
     @Override
-    public void start(ServiceRegistry registry) {
+    public void start(ComponentRegistry registry) {
         control = registry.require(ControlThread.NAME);
         time = registry.require(TimeSource.NAME);
         peers = registry.require(PeerExchange.NAME);
@@ -59,7 +59,7 @@
         fleet.onChange(this::onFleet);
         configurations.onChange(this::onConfiguration);
         control.every(TICK, this::onTick);
-        registry.find(OperatorDesk.NAME).ifPresent(this::describe);
+        registry.find(OperatorRegistry.NAME).ifPresent(this::describe);
         logger.atInfo().log("[floor] Started; votes after one lease.");
     }
 
@@ -153,7 +153,7 @@
                 .ofServer(revoked.server())));
     }
 
-    private void describe(OperatorDesk desk) {
+    private void describe(OperatorRegistry desk) {
         FloorStatus status = new FloorStatus();
         control.every(Duration.ofSeconds(1), () -> status.update(node, time.nanos()));
         desk.addStatus(status);
--- a/coppershelf/src/main/java/io/coppershelf/floor/FloorStatus.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/FloorStatus.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.coppershelf.floor.internal.FloorNode;
-import io.coppershelf.operator.StatusSource;
+import io.coppershelf.operator.StatusContributor;
 import java.util.List;
 
 /** What operators see of the ejection rights: a snapshot that the control thread renews. */
-final class FloorStatus implements StatusSource {
+final class FloorStatus implements StatusContributor {
     private volatile Snapshot snapshot = new Snapshot(List.of(), 0);
 
     void update(FloorNode node, long nowNanos) {
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorCodecs.java
@@ -1,11 +1,5 @@
 package io.coppershelf.floor.internal;
 
-import io.coppershelf.floor.internal.FloorMessage.OutReport;
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightReply;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
-import io.coppershelf.floor.internal.FloorMessage.RightRevoked;
-import io.coppershelf.floor.internal.FloorMessage.Verdict;
 import io.coppershelf.floor.internal.FloorMessage.VoteReply;
 import io.coppershelf.floor.internal.FloorMessage.VoteRequest;
 import io.coppershelf.peer.FunctionCodec;
@@ -51,17 +45,17 @@
                 in -> new VoteReply(in.unpackString(), in.unpackLong(), in.unpackLong(), in.unpackBoolean()));
     }
 
-    private static PeerMessageCodec<RightRequest> rightRequest() {
+    private static PeerMessageCodec<FloorMessage.GrantRequest> rightRequest() {
         return new FunctionCodec<>(
                 82,
-                RightRequest.class,
+                FloorMessage.GrantRequest.class,
                 (m, out) -> out.packString(m.service())
                         .packString(m.server())
                         .packLong(m.sequence())
                         .packBoolean(m.live())
                         .packLong(m.ticket())
                         .packInt(m.allowance()),
-                in -> new RightRequest(
+                in -> new FloorMessage.GrantRequest(
                         in.unpackString(),
                         in.unpackString(),
                         in.unpackLong(),
@@ -70,53 +64,53 @@
                         in.unpackInt()));
     }
 
-    private static PeerMessageCodec<RightReply> rightReply() {
+    private static PeerMessageCodec<FloorMessage.GrantReply> rightReply() {
         return new FunctionCodec<>(
                 83,
-                RightReply.class,
+                FloorMessage.GrantReply.class,
                 (m, out) -> out.packString(m.service())
                         .packString(m.server())
                         .packLong(m.sequence())
                         .packString(m.verdict().name())
                         .packString(m.granter()),
-                in -> new RightReply(
+                in -> new FloorMessage.GrantReply(
                         in.unpackString(), in.unpackString(), in.unpackLong(), readVerdict(in), in.unpackString()));
     }
 
-    private static PeerMessageCodec<RightRelease> rightRelease() {
+    private static PeerMessageCodec<FloorMessage.GrantRelease> rightRelease() {
         return new FunctionCodec<>(
                 84,
-                RightRelease.class,
+                FloorMessage.GrantRelease.class,
                 (m, out) -> out.packString(m.service()).packString(m.server()).packLong(m.sequence()),
-                in -> new RightRelease(in.unpackString(), in.unpackString(), in.unpackLong()));
+                in -> new FloorMessage.GrantRelease(in.unpackString(), in.unpackString(), in.unpackLong()));
     }
 
-    private static PeerMessageCodec<RightRevoked> rightRevoked() {
+    private static PeerMessageCodec<FloorMessage.GrantRevocation> rightRevoked() {
         return new FunctionCodec<>(
                 85,
-                RightRevoked.class,
+                FloorMessage.GrantRevocation.class,
                 (m, out) -> out.packString(m.service()).packString(m.server()),
-                in -> new RightRevoked(in.unpackString(), in.unpackString()));
+                in -> new FloorMessage.GrantRevocation(in.unpackString(), in.unpackString()));
     }
 
-    private static PeerMessageCodec<OutReport> outReport() {
+    private static PeerMessageCodec<FloorMessage.OutOfServiceReport> outReport() {
         return new FunctionCodec<>(
                 86,
-                OutReport.class,
+                FloorMessage.OutOfServiceReport.class,
                 (m, out) -> {
                     out.packString(m.service());
                     writeStrings(m.servers(), out);
                 },
-                in -> new OutReport(in.unpackString(), readStrings(in)));
+                in -> new FloorMessage.OutOfServiceReport(in.unpackString(), readStrings(in)));
     }
 
-    private static Verdict readVerdict(MessageUnpacker in) throws IOException {
+    private static FloorMessage.GrantResult readVerdict(MessageUnpacker in) throws IOException {
         String name = in.unpackString();
-        return Arrays.stream(Verdict.values())
+        return Arrays.stream(FloorMessage.GrantResult.values())
                 .filter(verdict -> verdict.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IOException(
-                        "verdict \"" + name + "\", expected one of " + Arrays.toString(Verdict.values())));
+                .orElseThrow(() -> new IOException("verdict \"" + name + "\", expected one of "
+                        + Arrays.toString(FloorMessage.GrantResult.values())));
     }
 
     private static void writeStrings(List<String> strings, MessagePacker out) throws IOException {
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorMessage.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorMessage.java
@@ -32,16 +32,16 @@
      * @param ticket the number of the ticket that set the service, as the holder knows it
      * @param allowance the number of servers that may be out of service, as the holder knows it
      */
-    record RightRequest(String service, String server, long sequence, boolean live, long ticket, int allowance)
+    record GrantRequest(String service, String server, long sequence, boolean live, long ticket, int allowance)
             implements FloorMessage {}
 
     /**
-     * Answers a {@link RightRequest}.
+     * Answers a {@link FloorMessage.GrantRequest}.
      *
      * @param verdict what became of it
      * @param granter the granter that the sender knows, empty string if none
      */
-    record RightReply(String service, String server, long sequence, Verdict verdict, String granter)
+    record GrantReply(String service, String server, long sequence, FloorMessage.GrantResult verdict, String granter)
             implements FloorMessage {}
 
     /**
@@ -49,16 +49,16 @@
      *
      * @param sequence the last request for it; the release does not touch later ones
      */
-    record RightRelease(String service, String server, long sequence) implements FloorMessage {}
+    record GrantRelease(String service, String server, long sequence) implements FloorMessage {}
 
     /** Ends a right early. */
-    record RightRevoked(String service, String server) implements FloorMessage {}
+    record GrantRevocation(String service, String server) implements FloorMessage {}
 
     /** Tells all servers of the service that the sender knows to be out of service for another reason. */
-    record OutReport(String service, List<String> servers) implements FloorMessage {}
+    record OutOfServiceReport(String service, List<String> servers) implements FloorMessage {}
 
     /** What became of a request for a right. */
-    enum Verdict {
+    enum GrantResult {
         GRANTED,
         REFUSED,
         NOT_GRANTER
--- a/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
+++ b/coppershelf/src/main/java/io/coppershelf/floor/internal/FloorNode.java
@@ -1,12 +1,6 @@
 package io.coppershelf.floor.internal;
 
 import io.coppershelf.floor.internal.FloorAction.Send;
-import io.coppershelf.floor.internal.FloorMessage.OutReport;
-import io.coppershelf.floor.internal.FloorMessage.RightRelease;
-import io.coppershelf.floor.internal.FloorMessage.RightReply;
-import io.coppershelf.floor.internal.FloorMessage.RightRequest;
-import io.coppershelf.floor.internal.FloorMessage.RightRevoked;
-import io.coppershelf.floor.internal.FloorMessage.Verdict;
 import io.coppershelf.floor.internal.FloorMessage.VoteReply;
 import io.coppershelf.floor.internal.FloorMessage.VoteRequest;
 import io.coppershelf.floor.internal.LeaseVoter.Candidate;
@@ -26,8 +20,8 @@
     private final String self;
     private final long incarnation;
     private final LeaseVoter voter;
-    private final RightsHolder holder;
-    private final OutReports outReports = new OutReports();
+    private final GrantHolder holder;
+    private final OutOfServiceReports outReports = new OutOfServiceReports();
     private final Map<String, Granter> granters = new TreeMap<>();
     private final Map<String, VoterSet> voterSets = new HashMap<>();
     private FleetView view;
@@ -41,7 +35,7 @@
         this.self = view.self().id();
         this.incarnation = view.self().incarnation();
         this.voter = new LeaseVoter(nowNanos);
-        this.holder = new RightsHolder(incarnation);
+        this.holder = new GrantHolder(incarnation);
         this.lastTickNanos = nowNanos;
     }
 
@@ -61,8 +55,8 @@
         configuration = now;
         List<FloorAction> actions = new ArrayList<>(holder.onRules(this::rules, this::voters));
         granters.forEach((service, granter) -> {
-            for (GrantLedger.Grant grant : granter.excess(rules(service), nowNanos)) {
-                actions.add(new Send(grant.holder(), new RightRevoked(service, grant.server())));
+            for (GrantTable.Grant grant : granter.excess(rules(service), nowNanos)) {
+                actions.add(new Send(grant.holder(), new FloorMessage.GrantRevocation(service, grant.server())));
             }
         });
         return actions;
@@ -100,20 +94,20 @@
             onVoteReply(sender, reply, nowNanos);
             return List.of();
         }
-        if (message instanceof RightRequest request) {
+        if (message instanceof FloorMessage.GrantRequest request) {
             return onRightRequest(sender, request, nowNanos);
         }
-        if (message instanceof RightReply reply) {
+        if (message instanceof FloorMessage.GrantReply reply) {
             return holder.onReply(sender, reply, nowNanos);
         }
-        if (message instanceof RightRevoked revoked) {
+        if (message instanceof FloorMessage.GrantRevocation revoked) {
             return holder.onRevoked(revoked.service(), revoked.server(), voters(revoked.service()));
         }
-        if (message instanceof RightRelease release) {
+        if (message instanceof FloorMessage.GrantRelease release) {
             granter(release.service()).onRelease(sender, release);
             return List.of();
         }
-        OutReport report = (OutReport) message;
+        FloorMessage.OutOfServiceReport report = (FloorMessage.OutOfServiceReport) message;
         granter(report.service()).onReport(sender, report, nowNanos);
         return List.of();
     }
@@ -177,14 +171,16 @@
         granter.lease().onVote(sender, reply.round(), nowNanos);
     }
 
-    private List<FloorAction> onRightRequest(String sender, RightRequest request, long nowNanos) {
+    private List<FloorAction> onRightRequest(String sender, FloorMessage.GrantRequest request, long nowNanos) {
         String service = request.service();
         becomeCandidateIfBestRanked(service);
         Granter granter = granters.get(service);
-        Verdict verdict =
-                granter == null ? Verdict.NOT_GRANTER : granter.decide(sender, request, rules(service), nowNanos);
+        FloorMessage.GrantResult verdict = granter == null
+                ? FloorMessage.GrantResult.NOT_GRANTER
+                : granter.decide(sender, request, rules(service), nowNanos);
         String known = voter.votedFor(service, nowNanos).orElse("");
-        return List.of(new Send(sender, new RightReply(service, request.server(), request.sequence(), verdict, known)));
+        return List.of(new Send(
+                sender, new FloorMessage.GrantReply(service, request.server(), request.sequence(), verdict, known)));
     }
 
     private List<FloorAction> voteRound(String service, Granter granter, long nowNanos) {
