--- a/bench/src/main/java/io/coppershelf/bench/backend/ActiveFault.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/ActiveFault.java
@@ -1,14 +1,16 @@
 package io.coppershelf.bench.backend;
 
 /**
- * A fault in force on one backend server.
+ * A fault that is active on one backend server.
  *
  * @param fault the fault
  * @param argument its argument, empty if it takes none
- * @param sinceMillis the wall clock at which it was switched on
+ * @param sinceMillis the wall-clock time at which it was injected, in milliseconds since 1970
  */
 record ActiveFault(ServerFault fault, String argument, long sinceMillis) {
-    /** Returns whether the fault stalls work at the given wall clock. */
+    private static final double COLD_SLOWDOWN = 3.0;
+
+    /** Returns whether the fault stalls work at the given wall-clock time. */
     boolean isStalling(long nowMillis) {
         if (fault == ServerFault.STALL) {
             return true;
@@ -16,15 +18,15 @@
         if (fault != ServerFault.FLAP) {
             return false;
         }
-        long turn = (nowMillis - sinceMillis) / Long.parseLong(argument);
-        return turn % 2 == 0;
+        long phase = (nowMillis - sinceMillis) / Long.parseLong(argument);
+        return phase % 2 == 0;
     }
 
-    /** Returns by how much the service time is multiplied. */
+    /** Returns the factor by which the service time is multiplied. */
     double slowdown() {
         return switch (fault) {
             case SLOW -> Double.parseDouble(argument);
-            case COLD -> 3.0;
+            case COLD -> COLD_SLOWDOWN;
             default -> 1.0;
         };
     }
@@ -34,8 +36,8 @@
         return fault == ServerFault.ERRORS && path.contains(argument);
     }
 
-    /** Returns whether answers to the try are lost. */
-    boolean isCutFrom(String attemptId) {
+    /** Returns whether answers to the attempt are lost. */
+    boolean dropsAnswerTo(String attemptId) {
         return fault == ServerFault.CUT_OUT && attemptId.startsWith(argument);
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/backend/BackendAdmin.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/BackendAdmin.java
@@ -24,31 +24,32 @@
         base = URI.create("http://127.0.0.1:" + port);
     }
 
-    /** Switches a fault on. */
-    public void switchOn(String server, ServerFault fault, String argument) throws IOException, InterruptedException {
-        post("/fault?server=" + server + "&fault=" + fault.argument() + "&argument="
+    /** Injects a fault into a server; it replaces the previous fault. */
+    public void injectFault(String server, ServerFault fault, String argument)
+            throws IOException, InterruptedException {
+        post("/fault?server=" + server + "&fault=" + fault.adminName() + "&argument="
                 + URLEncoder.encode(argument, StandardCharsets.UTF_8));
     }
 
-    /** Ends the fault of a server. */
-    public void switchOff(String server) throws IOException, InterruptedException {
+    /** Clears the fault of a server. */
+    public void clearFault(String server) throws IOException, InterruptedException {
         post("/fault?server=" + server + "&fault=none");
     }
 
-    /** Returns how often each piece of work was begun, by its id. */
+    /** Returns how often each work item was started, by its id. */
     public Map<String, Integer> executions() throws IOException, InterruptedException {
         Map<String, Integer> counts = new HashMap<>();
         read().get("executions").forEachEntry((workId, count) -> counts.put(workId, count.asInt()));
         return counts;
     }
 
-    /** Returns how many pieces of work a server has begun. */
-    public long begun(String server) throws IOException, InterruptedException {
+    /** Returns how many work items a server has started. */
+    public long startedCount(String server) throws IOException, InterruptedException {
         return read().get("begunByServer").path(server).asLong(0);
     }
 
-    /** Returns how many pieces of work a server was sent. */
-    public long received(String server) throws IOException, InterruptedException {
+    /** Returns how many requests a server has received, whether it ran them or not. */
+    public long receivedCount(String server) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(base.resolve("/received?server=" + server))
                 .build();
         return Long.parseLong(
--- a/bench/src/main/java/io/coppershelf/bench/backend/BackendFarm.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/BackendFarm.java
@@ -36,7 +36,7 @@
         this.admin = admin;
     }
 
-    /** Starts the servers on their own addresses, and the admin interface on 127.0.0.1. */
+    /** Starts each server on the address of its specification, and the admin interface on 127.0.0.1. */
     public static BackendFarm start(List<ServerSpec> specs, int adminPort) throws IOException {
         BackendFarm farm = new BackendFarm(HttpServer.create(new InetSocketAddress("127.0.0.1", adminPort), 0));
         for (ServerSpec spec : specs) {
@@ -58,7 +58,7 @@
         return admin.getAddress().getPort();
     }
 
-    /** Stops all servers at once. */
+    /** Stops all servers and the admin interface immediately. */
     public void stop() {
         admin.stop(0);
         servers.values().forEach(BackendServerStandIn::stop);
@@ -67,14 +67,14 @@
     }
 
     private void startAdmin() {
-        admin.createContext("/fault", this::switchFault);
-        admin.createContext("/executions", this::tellExecutions);
-        admin.createContext("/received", this::tellReceived);
+        admin.createContext("/fault", this::handleFault);
+        admin.createContext("/executions", this::sendExecutions);
+        admin.createContext("/received", this::sendReceivedCount);
         admin.setExecutor(workers);
         admin.start();
     }
 
-    private void switchFault(HttpExchange exchange) throws IOException {
+    private void handleFault(HttpExchange exchange) throws IOException {
         Map<String, String> query = query(exchange);
         String server = query.getOrDefault("server", "");
         String name = query.getOrDefault("fault", "");
@@ -84,19 +84,19 @@
             return;
         }
         String argument = query.getOrDefault("argument", "");
-        servers.get(server).switchFault(fault.map(kind -> new ActiveFault(kind, argument, System.currentTimeMillis())));
+        servers.get(server).setFault(fault.map(kind -> new ActiveFault(kind, argument, System.currentTimeMillis())));
         answers.sendText(exchange, 200, server + " " + name + "\n");
     }
 
-    private void tellReceived(HttpExchange exchange) throws IOException {
+    private void sendReceivedCount(HttpExchange exchange) throws IOException {
         String server = query(exchange).getOrDefault("server", "");
-        answers.sendText(exchange, 200, Long.toString(log.received(server)));
+        answers.sendText(exchange, 200, Long.toString(log.receivedCount(server)));
     }
 
-    private void tellExecutions(HttpExchange exchange) throws IOException {
+    private void sendExecutions(HttpExchange exchange) throws IOException {
         ObjectNode root = JSON.createObjectNode();
         root.set("executions", JSON.valueToTree(log.executions()));
-        root.set("begunByServer", JSON.valueToTree(log.begunByServer()));
+        root.set("begunByServer", JSON.valueToTree(log.startedByServer()));
         answers.sendText(exchange, 200, JSON.writeValueAsString(root));
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/backend/BackendMain.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/BackendMain.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Runs all backend servers that a ticket names, in one process. */
+/** Runs stand-ins for all backend servers of a ticket in one process. */
 @Command(name = "backends", description = "Runs stand-ins for the backend servers of a ticket")
 public final class BackendMain {
     @Option(name = "--ticket", description = "The ticket that names the servers")
@@ -18,7 +18,7 @@
     @Option(name = "--admin-port", description = "The TCP port of the admin interface on 127.0.0.1")
     private int adminPort = 9190;
 
-    /** Runs until the process is ended. */
+    /** Runs until the process is terminated. */
     public static void main(String[] args) throws IOException {
         System.setProperty("sun.net.httpserver.nodelay", "true");
         System.setProperty("sun.net.httpserver.maxIdleConnections", "4000");
--- a/bench/src/main/java/io/coppershelf/bench/backend/BackendServerStandIn.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/BackendServerStandIn.java
@@ -15,20 +15,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One backend server: runs as many requests at once as it has slots, queues as many more, and sheds the rest.
+ * Stand-in for one backend server: runs as many requests at once as it has slots, queues as many more, and sheds the
+ * rest.
  *
- * <p>Each request says by {@code X-Work-Micros} how long it takes; faults change what happens to it.
+ * <p>The header {@code X-Work-Micros} of a request sets its service time. An injected fault changes how the server
+ * handles requests.
  */
 final class BackendServerStandIn {
-    private static final int BACKLOG = 330;
+    private static final int ACCEPT_BACKLOG = 330;
     private static final int QUEUE_PER_SLOT = 1;
-    private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    private static final long STALL_CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final ServerSpec spec;
     private final ExecutionLog log;
     private final ScheduledExecutorService timer;
     private final WorkAnswers answers = new WorkAnswers();
-    private final Map<String, Work> taken = new ConcurrentHashMap<>();
+    private final Map<String, Work> acceptedByAttemptId = new ConcurrentHashMap<>();
     private final Deque<Work> waiting = new ArrayDeque<>();
     private volatile Optional<ActiveFault> fault = Optional.empty();
     private int running;
@@ -45,11 +47,11 @@
     }
 
     void start(Executor executor) throws IOException {
-        http = HttpServer.create(new InetSocketAddress(spec.host(), spec.port()), BACKLOG);
+        http = HttpServer.create(new InetSocketAddress(spec.host(), spec.port()), ACCEPT_BACKLOG);
         http.setExecutor(executor);
         http.createContext("/coppershelf/health", this::answerProbe);
         http.createContext("/coppershelf/cancel/", this::cancel);
-        http.createContext("/", this::take);
+        http.createContext("/", this::accept);
         http.start();
     }
 
@@ -57,7 +59,7 @@
         http.stop(0);
     }
 
-    void switchFault(Optional<ActiveFault> next) {
+    void setFault(Optional<ActiveFault> next) {
         fault = next;
         timer.execute(this::runWaiting);
     }
@@ -74,12 +76,12 @@
 
     private void cancel(HttpExchange exchange) throws IOException {
         String path = exchange.getRequestURI().getPath();
-        Work work = taken.get(path.substring("/coppershelf/cancel/".length()));
+        Work work = acceptedByAttemptId.get(path.substring("/coppershelf/cancel/".length()));
         String execution = "unknown";
         if (work != null) {
             execution = cancelWork(work);
         }
-        exchange.getResponseHeaders().set(BackendHeaders.TRY_ID, header(exchange, BackendHeaders.TRY_ID));
+        exchange.getResponseHeaders().set(BackendHeaders.ATTEMPT_ID, header(exchange, BackendHeaders.ATTEMPT_ID));
         exchange.getResponseHeaders().set(BackendHeaders.EXECUTION, execution);
         answers.sendText(exchange, 200, "");
     }
@@ -89,8 +91,8 @@
             synchronized (this) {
                 waiting.remove(work);
             }
-            answers.refuse(work, 503, stateHeader());
-            taken.remove(work.attemptId());
+            answers.reject(work, 503, stateHeader());
+            acceptedByAttemptId.remove(work.attemptId());
             return "not-started";
         }
         return switch (work.state()) {
@@ -100,16 +102,16 @@
         };
     }
 
-    private void take(HttpExchange exchange) throws IOException {
-        log.receive(spec.name());
+    private void accept(HttpExchange exchange) throws IOException {
+        log.recordReceived(spec.name());
         exchange.getRequestBody().readAllBytes();
-        String attemptId = header(exchange, BackendHeaders.TRY_ID);
+        String attemptId = header(exchange, BackendHeaders.ATTEMPT_ID);
         String deadline = header(exchange, BackendHeaders.DEADLINE_MS);
         long millis = deadline.isEmpty() ? TimeUnit.MINUTES.toMillis(1) : Long.parseLong(deadline);
         Work work = new Work(exchange, attemptId, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis));
         if (isFault(ServerFault.SHED) || isFault(ServerFault.DRAIN) || !enqueue(work)) {
             work.advance(Work.State.WAITING, Work.State.CANCELLED);
-            answers.refuse(work, 503, isFault(ServerFault.DRAIN) ? "draining" : "shedding");
+            answers.reject(work, 503, isFault(ServerFault.DRAIN) ? "draining" : "shedding");
             return;
         }
         runWaiting();
@@ -119,7 +121,7 @@
         if (running + waiting.size() >= spec.slots() * (1 + QUEUE_PER_SLOT)) {
             return false;
         }
-        taken.put(work.attemptId(), work);
+        acceptedByAttemptId.put(work.attemptId(), work);
         waiting.add(work);
         return true;
     }
@@ -131,30 +133,30 @@
     }
 
     private synchronized Optional<Work> nextToRun() {
-        boolean stalling = fault.map(active -> active.isStalling(System.currentTimeMillis()))
+        boolean isStalling = fault.map(active -> active.isStalling(System.currentTimeMillis()))
                 .orElse(false);
         if (waiting.isEmpty() || running >= spec.slots()) {
             return Optional.empty();
         }
-        if (stalling || isHeldPastDeadline(waiting.peek())) {
-            timer.schedule(this::runWaiting, RETRY_NANOS, TimeUnit.NANOSECONDS);
+        if (isStalling || isDelayedPastDeadline(waiting.peek())) {
+            timer.schedule(this::runWaiting, STALL_CHECK_NANOS, TimeUnit.NANOSECONDS);
             return Optional.empty();
         }
         running++;
         return Optional.of(waiting.remove());
     }
 
-    private boolean isHeldPastDeadline(Work work) {
+    private boolean isDelayedPastDeadline(Work work) {
         return isFault(ServerFault.LATE) && System.nanoTime() < work.deadlineNanos();
     }
 
     private void run(Work work) {
-        boolean late = System.nanoTime() > work.deadlineNanos() && !isFault(ServerFault.LATE);
-        if (late) {
-            boolean refused = work.advance(Work.State.WAITING, Work.State.CANCELLED);
+        boolean expired = System.nanoTime() > work.deadlineNanos() && !isFault(ServerFault.LATE);
+        if (expired) {
+            boolean cancelled = work.advance(Work.State.WAITING, Work.State.CANCELLED);
             release(work);
-            if (refused) {
-                answers.refuse(work, 504, stateHeader());
+            if (cancelled) {
+                answers.reject(work, 504, stateHeader());
             }
             return;
         }
@@ -162,7 +164,7 @@
             release(work);
             return;
         }
-        log.begin(spec.name(), work.header(BackendHeaders.WORK_ID));
+        log.recordStart(spec.name(), work.header(BackendHeaders.WORK_ID));
         String micros = work.header(BackendHeaders.WORK_MICROS);
         double slowdown = fault.map(ActiveFault::slowdown).orElse(1.0);
         long duration = Math.round(slowdown * (micros.isEmpty() ? 0 : Long.parseLong(micros)));
@@ -182,7 +184,7 @@
 
     private synchronized void release(Work work) {
         running--;
-        taken.remove(work.attemptId());
+        acceptedByAttemptId.remove(work.attemptId());
     }
 
     private boolean isFault(ServerFault candidate) {
--- a/bench/src/main/java/io/coppershelf/bench/backend/Work.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/Work.java
@@ -3,9 +3,9 @@
 import com.sun.net.httpserver.HttpExchange;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** One request that a backend server has taken. */
+/** One request that a backend server has received. */
 final class Work {
-    /** How far a piece of work has come. */
+    /** The processing state of a request. */
     enum State {
         WAITING,
         RUNNING,
@@ -40,7 +40,7 @@
         return state.get();
     }
 
-    /** Moves on and returns true, if the work is in the state expected. */
+    /** Moves to the next state if the work is in the expected one, and returns whether it was. */
     boolean advance(State expected, State next) {
         return state.compareAndSet(expected, next);
     }
--- a/bench/src/main/java/io/coppershelf/bench/backend/package-info.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Stand-ins for backend servers, with fault switches and a log of what they ran.
+ * Stand-ins for backend servers, with fault injection and a log of the work that they ran.
  *
- * <p>All servers of a customer run in one process, each on an address of its own. An admin port switches faults and
- * tells executions.
+ * <p>All servers of a ticket run in one process, each on its own address. An admin port injects faults and reports
+ * executions.
  */
 package io.coppershelf.bench.backend;
--- a/bench/src/main/java/io/coppershelf/bench/demo/DemoMain.java
+++ b/bench/src/main/java/io/coppershelf/bench/demo/DemoMain.java
@@ -12,7 +12,7 @@
 import java.net.URI;
 import java.nio.file.Path;
 
-/** Runs the demonstration against a fleet that the script has started; ends with status 1 if a promise was broken. */
+/** Runs the demonstration against a fleet that the script has started; exits with status 1 if a promise was broken. */
 @Command(name = "demo", description = "Shows the main job against running daemons and stand-ins")
 public final class DemoMain {
     @Option(name = "--ticket", description = "The first ticket")
@@ -38,9 +38,9 @@
     /** Runs the demonstration. */
     public static void main(String[] args) throws Exception {
         DemoMain main = SingleCommand.singleCommand(DemoMain.class).parse(args);
-        boolean isKept = main.demonstration().run();
-        System.out.println(isKept ? "All promises were kept." : "A PROMISE WAS BROKEN.");
-        System.exit(isKept ? 0 : 1);
+        boolean areGuaranteesKept = main.demonstration().run();
+        System.out.println(areGuaranteesKept ? "All promises were kept." : "A PROMISE WAS BROKEN.");
+        System.exit(areGuaranteesKept ? 0 : 1);
     }
 
     private Demonstration demonstration() throws Exception {
--- a/bench/src/main/java/io/coppershelf/bench/demo/Demonstration.java
+++ b/bench/src/main/java/io/coppershelf/bench/demo/Demonstration.java
@@ -20,12 +20,12 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** The steps of the demonstration; each prints what happened and tells whether the promises were kept. */
+/** The steps of the demonstration; each prints its results and returns whether the promises were kept. */
 final class Demonstration {
-    private static final Duration TICKET_LIMIT = Duration.ofSeconds(5);
-    private static final Duration DRAIN_LIMIT = Duration.ofSeconds(3);
+    private static final Duration TICKET_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration DRAIN_TIME = Duration.ofSeconds(3);
     private static final Duration LOAD_DURATION = Duration.ofSeconds(7);
-    private static final Duration BEFORE_EVENT = Duration.ofMillis(1500);
+    private static final Duration LOAD_BEFORE_EVENT = Duration.ofMillis(1500);
     private static final Duration MEAN_WORK = Duration.ofMillis(20);
     private static final double CALLS_PER_SECOND = 80;
     private static final int ANSWER_BYTES = 512;
@@ -49,11 +49,12 @@
         this.backends = backends;
     }
 
+    /** Runs all steps and returns whether the promises were kept in each. */
     boolean run() throws IOException, InterruptedException {
         boolean served = serveEveryKind();
         boolean drained = drainUnderLoad();
-        boolean survived = stallUnderLoad();
-        return served && drained && survived;
+        boolean consistent = stallUnderLoad();
+        return served && drained && consistent;
     }
 
     private boolean serveEveryKind() throws IOException, InterruptedException {
@@ -80,55 +81,55 @@
         ServerSpec server = ticket.servers().get(0);
         System.out.println("== Ticket " + (ticket.number() + 1) + " drains " + server.name() + " under load");
         CompletableFuture<List<CallResult>> calls = loadInBackground("drain", server.service());
-        Thread.sleep(BEFORE_EVENT.toMillis());
-        long published = System.nanoTime();
+        Thread.sleep(LOAD_BEFORE_EVENT.toMillis());
+        long publishedAtNanos = System.nanoTime();
         platform.publish(TicketEdits.drain(ticket.number() + 1, server));
-        Map<URI, Duration> times = status.awaitTicket(ticket.number() + 1, published, TICKET_LIMIT);
+        Map<URI, Duration> times = status.awaitTicket(ticket.number() + 1, publishedAtNanos, TICKET_TIMEOUT);
         times.forEach((daemon, time) ->
                 System.out.printf(Locale.ROOT, "in force at %s after %d ms%n", daemon.getAuthority(), time.toMillis()));
-        Duration sincePublished = Duration.ofNanos(System.nanoTime() - published);
-        Thread.sleep(Math.max(0, DRAIN_LIMIT.minus(sincePublished).toMillis()));
-        long begunAtLimit = backends.begun(server.name());
-        boolean isTrue = report(calls.join());
-        long begunLater = backends.begun(server.name()) - begunAtLimit;
-        System.out.println("new work at " + server.name() + " more than 3 s after the ticket: " + begunLater);
-        return isTrue && begunLater == 0;
+        Duration sincePublished = Duration.ofNanos(System.nanoTime() - publishedAtNanos);
+        Thread.sleep(Math.max(0, DRAIN_TIME.minus(sincePublished).toMillis()));
+        long startedWhenDrained = backends.startedCount(server.name());
+        boolean areCallsServed = printAndCheck(calls.join());
+        long startedLater = backends.startedCount(server.name()) - startedWhenDrained;
+        System.out.println("new work at " + server.name() + " more than 3 s after the ticket: " + startedLater);
+        return areCallsServed && startedLater == 0;
     }
 
     private boolean stallUnderLoad() throws IOException, InterruptedException {
         ServerSpec server = ticket.servers().get(1);
         System.out.println("== " + server.name() + " stalls under load while its probes are answered");
         CompletableFuture<List<CallResult>> calls = loadInBackground("stall", server.service());
-        Thread.sleep(BEFORE_EVENT.toMillis());
-        backends.switchOn(server.name(), ServerFault.STALL, "");
+        Thread.sleep(LOAD_BEFORE_EVENT.toMillis());
+        backends.injectFault(server.name(), ServerFault.STALL, "");
         List<CallResult> results = calls.join();
-        backends.switchOff(server.name());
-        ConsistencyReport truth = truth(results);
-        print(truth);
-        return truth.isConsistent();
+        backends.clearFault(server.name());
+        ConsistencyReport report = report(results);
+        print(report);
+        return report.isConsistent();
     }
 
-    private boolean report(List<CallResult> results) throws IOException, InterruptedException {
-        ConsistencyReport truth = truth(results);
-        print(truth);
-        return truth.isConsistent() && truth.inTimeShare() == 1.0;
+    private boolean printAndCheck(List<CallResult> results) throws IOException, InterruptedException {
+        ConsistencyReport report = report(results);
+        print(report);
+        return report.isConsistent() && report.inTimeShare() == 1.0;
     }
 
-    private ConsistencyReport truth(List<CallResult> results) throws IOException, InterruptedException {
+    private ConsistencyReport report(List<CallResult> results) throws IOException, InterruptedException {
         return ConsistencyReport.of(results, backends.executions());
     }
 
-    private static void print(ConsistencyReport truth) {
+    private static void print(ConsistencyReport report) {
         System.out.printf(
                 Locale.ROOT,
                 "%d calls, %.2f%% in time by weight, executed twice %d, not run yet run %d, foreign or partial %d,"
                         + " unanswered %d%n",
-                truth.calls(),
-                100 * truth.inTimeShare(),
-                truth.executedTwice(),
-                truth.notRunYetRun(),
-                truth.foreignOrPartial(),
-                truth.unanswered());
+                report.calls(),
+                100 * report.inTimeShare(),
+                report.executedTwice(),
+                report.notRunYetRun(),
+                report.foreignOrPartial(),
+                report.unanswered());
     }
 
     private CompletableFuture<List<CallResult>> loadInBackground(String name, String service) {
--- a/bench/src/main/java/io/coppershelf/bench/fleet/AddressList.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/AddressList.java
@@ -4,11 +4,11 @@
 import java.net.URI;
 import java.util.List;
 
-/** Addresses as the command line of the bench gives them: {@code HOST:PORT}, with commas. */
+/** Parses the address lists of the command line: {@code HOST:PORT} entries, separated by commas. */
 public final class AddressList {
     private AddressList() {}
 
-    /** Returns the base address of each entry. */
+    /** Returns the base URI of each entry. */
     public static List<URI> parse(String list) {
         return Splitter.on(',')
                 .splitToStream(list)
--- a/bench/src/main/java/io/coppershelf/bench/fleet/ArrivalLog.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/ArrivalLog.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Samples how many pieces of work a server has been sent, to find how long it kept getting work. */
+/** Samples the number of requests that a server has received, to find when they stopped arriving. */
 final class ArrivalLog {
-    private static final Duration INTERVAL = Duration.ofMillis(25);
+    private static final Duration SAMPLE_INTERVAL = Duration.ofMillis(25);
     private static final Duration QUIET_WINDOW = Duration.ofSeconds(1);
-    private static final long PROBATION_WORK_PER_WINDOW = 2;
+    private static final long MAX_PROBATION_REQUESTS_PER_WINDOW = 2;
 
     private final BackendAdmin backends;
     private final String server;
@@ -24,25 +24,25 @@
 
     private record Sample(Duration at, long received) {}
 
-    /** Samples for the given time. */
+    /** Takes samples for the given duration. */
     void sample(Duration duration) throws IOException, InterruptedException {
         long start = System.nanoTime();
         for (long now = start; now - start < duration.toNanos(); now = System.nanoTime()) {
-            samples.add(new Sample(Duration.ofNanos(now - start), backends.received(server)));
-            Thread.sleep(INTERVAL.toMillis());
+            samples.add(new Sample(Duration.ofNanos(now - start), backends.receivedCount(server)));
+            Thread.sleep(SAMPLE_INTERVAL.toMillis());
         }
     }
 
     /**
-     * Returns how long the server kept getting work: the first time after which it got no more than the work of a
-     * probation in the window that follows. Empty if that never happened.
+     * Returns how long the server kept receiving work: the first time after which it received no more in the following
+     * window than a server in probation does. Empty if there is no such time.
      */
     Optional<Duration> workEnded() {
-        Duration last = samples.get(samples.size() - 1).at();
+        Duration lastSampleAt = samples.get(samples.size() - 1).at();
         return samples.stream()
-                .filter(sample -> sample.at().plus(QUIET_WINDOW).compareTo(last) <= 0)
-                .filter(sample ->
-                        receivedAt(sample.at().plus(QUIET_WINDOW)) - sample.received() <= PROBATION_WORK_PER_WINDOW)
+                .filter(sample -> sample.at().plus(QUIET_WINDOW).compareTo(lastSampleAt) <= 0)
+                .filter(sample -> receivedAt(sample.at().plus(QUIET_WINDOW)) - sample.received()
+                        <= MAX_PROBATION_REQUESTS_PER_WINDOW)
                 .map(Sample::at)
                 .findFirst();
     }
--- a/bench/src/main/java/io/coppershelf/bench/fleet/DaemonStatus.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/DaemonStatus.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Reads the status of daemons. */
+/** Reads the {@code /status} pages of daemons. */
 public final class DaemonStatus {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
     private final HttpClient http = HttpClient.newHttpClient();
@@ -28,7 +28,7 @@
         this.operators = List.copyOf(operators);
     }
 
-    /** Returns the ticket in force on a daemon, 0 if it does not answer. */
+    /** Returns the number of the ticket in force on a daemon, 0 if the daemon does not answer. */
     public long ticketInForce(URI operator) throws InterruptedException {
         try {
             return read(operator).path("ticket").path("number").asLong(0);
@@ -40,11 +40,11 @@
     /**
      * Waits until the ticket is in force on all daemons.
      *
-     * @param sinceNanos when it was published
-     * @return for each daemon the time that it took
-     * @throws IOException if it takes longer than the limit
+     * @param sinceNanos the {@link System#nanoTime()} at which it was published
+     * @return the time from publication until the ticket was in force, for each daemon
+     * @throws IOException if it takes longer than the timeout
      */
-    public Map<URI, Duration> awaitTicket(long number, long sinceNanos, Duration limit)
+    public Map<URI, Duration> awaitTicket(long number, long sinceNanos, Duration timeout)
             throws IOException, InterruptedException {
         Map<URI, Duration> times = new LinkedHashMap<>();
         while (times.size() < operators.size()) {
@@ -53,9 +53,9 @@
                     times.put(operator, Duration.ofNanos(System.nanoTime() - sinceNanos));
                 }
             }
-            if (System.nanoTime() - sinceNanos > limit.toNanos()) {
+            if (System.nanoTime() - sinceNanos > timeout.toNanos()) {
                 throw new IOException("expected ticket " + number + " in force on " + operators.size()
-                        + " daemons within " + limit + " but only on " + times.size());
+                        + " daemons within " + timeout + " but only on " + times.size());
             }
             LockSupport.parkNanos(POLL_NANOS);
         }
@@ -64,7 +64,7 @@
 
     private JsonNode read(URI operator) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(operator.resolve("/status"))
-                .timeout(TIMEOUT)
+                .timeout(REQUEST_TIMEOUT)
                 .build();
         return JSON.readTree(
                 http.send(request, HttpResponse.BodyHandlers.ofString()).body());
--- a/bench/src/main/java/io/coppershelf/bench/fleet/EjectionLog.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/EjectionLog.java
@@ -22,12 +22,12 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** The ejections of a run, read from the time line over all daemons. */
+/** The ejections of a run, read from the time lines of all daemons. */
 final class EjectionLog {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String INTO_EJECTION = " to " + ServerCondition.EJECTED;
-    private static final String INTO_SUSPICION = " to " + ServerCondition.SUSPECTED;
-    private static final String OUT_OF_EJECTION = ServerCondition.EJECTED + " to ";
+    private static final String TO_EJECTED = " to " + ServerCondition.EJECTED;
+    private static final String TO_SUSPECTED = " to " + ServerCondition.SUSPECTED;
+    private static final String FROM_EJECTED = ServerCondition.EJECTED + " to ";
 
     private final List<StampedEvent> changes;
 
@@ -35,7 +35,7 @@
         this.changes = changes;
     }
 
-    /** Reads the changes of condition from all daemons that answer, in the order of the time line. */
+    /** Reads the condition changes from the time lines of all daemons that answer, in time order. */
     static EjectionLog read(List<URI> operators) throws IOException, InterruptedException {
         HttpClient http = HttpClient.newHttpClient();
         List<StampedEvent> events = new ArrayList<>();
@@ -56,19 +56,19 @@
                     http.send(request, HttpResponse.BodyHandlers.ofString()).body();
             return TimelineDocument.fromJson(JSON.readTree(text)).events();
         } catch (ConnectException e) {
-            // The daemon was killed, and its events with it.
+            // The daemon was killed, so its events are lost.
             return List.of();
         }
     }
 
     /**
-     * Returns how long after the given wall clock the server was first taken out of the usual choice: suspected or
-     * ejected.
+     * Returns how long after the given wall-clock time the server was first suspected or ejected, and so no longer
+     * selected for ordinary requests.
      */
     Optional<Duration> suspectedAfter(String server, long sinceMillis) {
         return changes.stream()
                 .filter(change -> server(change).equals(server))
-                .filter(change -> isEjection(change) || change.event().text().contains(INTO_SUSPICION))
+                .filter(change -> isEjection(change) || change.event().text().contains(TO_SUSPECTED))
                 .map(change -> HybridClock.millis(change.stamp()))
                 .filter(millis -> millis >= sinceMillis)
                 .findFirst()
@@ -83,33 +83,33 @@
                 .count();
     }
 
-    /** Returns the most servers that each service had ejected at once, by any VM. */
-    Map<String, Integer> mostEjected() {
-        Map<String, Set<String>> ejected = new HashMap<>();
-        Map<String, Integer> most = new HashMap<>();
+    /** Returns, for each service, the largest number of its servers that were ejected at the same time, by any VM. */
+    Map<String, Integer> maxEjectedByService() {
+        Map<String, Set<String>> ejectedByService = new HashMap<>();
+        Map<String, Integer> maxEjected = new HashMap<>();
         for (StampedEvent change : changes) {
             String service = change.event().service().orElse("");
-            String holder = change.vm() + "/" + server(change);
-            Set<String> now = ejected.computeIfAbsent(service, name -> new HashSet<>());
+            String ejection = change.vm() + "/" + server(change);
+            Set<String> ejectedNow = ejectedByService.computeIfAbsent(service, name -> new HashSet<>());
             if (isEjection(change)) {
-                now.add(holder);
-            } else if (change.event().text().startsWith(OUT_OF_EJECTION)) {
-                now.remove(holder);
+                ejectedNow.add(ejection);
+            } else if (change.event().text().startsWith(FROM_EJECTED)) {
+                ejectedNow.remove(ejection);
             }
-            most.merge(service, distinctServers(now), Math::max);
+            maxEjected.merge(service, distinctServers(ejectedNow), Math::max);
         }
-        return most;
+        return maxEjected;
     }
 
-    private static int distinctServers(Set<String> holders) {
-        return holders.stream()
-                .map(holder -> holder.substring(holder.indexOf('/') + 1))
+    private static int distinctServers(Set<String> ejections) {
+        return ejections.stream()
+                .map(ejection -> ejection.substring(ejection.indexOf('/') + 1))
                 .collect(Collectors.toSet())
                 .size();
     }
 
     private static boolean isEjection(StampedEvent event) {
-        return event.event().text().contains(INTO_EJECTION);
+        return event.event().text().contains(TO_EJECTED);
     }
 
     private static String server(StampedEvent event) {
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
@@ -18,7 +18,9 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Drives a running fleet with a customer's services at a share of its slots, switches one fault and prints one row. */
+/**
+ * Loads the services of a customer on a running fleet to a share of their slots, injects one fault and prints one row.
+ */
 @Command(name = "fleet", description = "Measures one fault on a running fleet")
 public final class FleetBench {
     private static final Duration WARM_UP = Duration.ofSeconds(25);
@@ -58,51 +60,53 @@
     @Option(name = "--work-millis", description = "The mean service time in milliseconds")
     private int workMillis = 150;
 
-    /** Runs the measurement; ends with status 1 if a promise was broken. */
+    /** Runs the measurement; exits with status 1 if a promise was broken. */
     public static void main(String[] args) throws Exception {
         FleetBench bench = SingleCommand.singleCommand(FleetBench.class).parse(args);
         System.exit(bench.run() ? 0 : 1);
     }
 
     private boolean run() throws Exception {
-        FleetFault row = FleetFault.named(fault)
+        FleetFault injectedFault = FleetFault.withLabel(fault)
                 .orElseThrow(() -> new IllegalArgumentException("expected a known fault but got \"" + fault + "\""));
-        TicketFile objects = TicketFile.read(Path.of(ticket));
+        TicketFile ticketFile = TicketFile.read(Path.of(ticket));
         BackendAdmin backends = new BackendAdmin(backendAdminPort);
-        ServiceSpec service = objects.services().get(1);
-        ServerSpec target = objects.servers(service.name()).get(0);
-        List<CompletableFuture<List<CallResult>>> calls = startLoad(objects);
+        ServiceSpec service = ticketFile.services().get(1);
+        ServerSpec faultyServer = ticketFile.servers(service.name()).get(0);
+        List<CompletableFuture<List<CallResult>>> calls = startLoad(ticketFile);
         Thread.sleep(WARM_UP.toMillis());
         long onsetMillis = System.currentTimeMillis();
-        row.switchOn(backends, target.name());
-        ArrivalLog arrivals = new ArrivalLog(backends, target.name());
+        injectedFault.injectInto(backends, faultyServer.name());
+        ArrivalLog arrivals = new ArrivalLog(backends, faultyServer.name());
         arrivals.sample(Duration.ofSeconds(seconds));
-        backends.switchOff(target.name());
-        FleetRow.Reports truths = truth(calls, backends, service);
+        backends.clearFault(faultyServer.name());
+        FleetRow.Reports reports = reports(calls, backends, service);
         EjectionLog ejections = EjectionLog.read(AddressList.parse(operators));
-        FleetRow result = new FleetRow(
+        FleetRow row = new FleetRow(
                 customer,
-                row.label(),
+                injectedFault.label(),
                 vmFault,
                 load,
-                row.makesServerUnhealthy() ? arrivals.workEnded() : Optional.empty(),
-                row.makesServerUnhealthy(),
-                row.makesServerUnhealthy() ? ejections.suspectedAfter(target.name(), onsetMillis) : Optional.empty(),
-                truths,
+                injectedFault.makesServerUnhealthy() ? arrivals.workEnded() : Optional.empty(),
+                injectedFault.makesServerUnhealthy(),
+                injectedFault.makesServerUnhealthy()
+                        ? ejections.suspectedAfter(faultyServer.name(), onsetMillis)
+                        : Optional.empty(),
+                reports,
                 ejections,
-                target.name(),
+                faultyServer.name(),
                 WARM_UP.plusSeconds(seconds),
-                objects);
-        result.print();
-        return result.areGuaranteesKept();
+                ticketFile);
+        row.print();
+        return row.areGuaranteesKept();
     }
 
-    private FleetRow.Reports truth(
+    private FleetRow.Reports reports(
             List<CompletableFuture<List<CallResult>>> calls, BackendAdmin backends, ServiceSpec service)
             throws Exception {
         List<CallResult> all = new ArrayList<>();
-        for (CompletableFuture<List<CallResult>> part : calls) {
-            all.addAll(part.join());
+        for (CompletableFuture<List<CallResult>> serviceCalls : calls) {
+            all.addAll(serviceCalls.join());
         }
         List<CallResult> afterFault =
                 all.stream().filter(call -> call.atNanos() >= WARM_UP.toNanos()).toList();
@@ -117,23 +121,23 @@
                 RefusalSummary.of(afterFault));
     }
 
-    private List<CompletableFuture<List<CallResult>>> startLoad(TicketFile objects) {
-        return objects.services().stream()
-                .map(service -> plan(objects, service))
+    private List<CompletableFuture<List<CallResult>>> startLoad(TicketFile ticketFile) {
+        return ticketFile.services().stream()
+                .map(service -> plan(ticketFile, service))
                 .map(plan -> CompletableFuture.supplyAsync(
                         () -> LoadGenerator.run(plan), task -> new Thread(task, "load").start()))
                 .toList();
     }
 
-    private LoadPlan plan(TicketFile objects, ServiceSpec service) {
-        int slots = objects.servers(service.name()).stream()
+    private LoadPlan plan(TicketFile ticketFile, ServiceSpec service) {
+        int slots = ticketFile.servers(service.name()).stream()
                 .mapToInt(ServerSpec::slots)
                 .sum();
         double callsPerSecond = slots * 1000.0 / workMillis * load / 100;
         return new LoadPlan(
                 service.name(),
                 AddressList.parse(callers),
-                objects.routes(service.name()),
+                ticketFile.routes(service.name()),
                 callsPerSecond,
                 WARM_UP.plusSeconds(seconds),
                 Duration.ofMillis(workMillis),
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetFault.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetFault.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** A row of the measurement: the fault of one backend server, and whether the server is sick with it. */
+/** The faults that the measurement injects into one backend server, one for each row. */
 enum FleetFault {
     NONE(Optional.empty(), "", false),
     STALL(Optional.of(ServerFault.STALL), "", true),
@@ -28,15 +28,15 @@
 
     private final Optional<ServerFault> fault;
     private final String argument;
-    private final boolean sick;
+    private final boolean makesServerUnhealthy;
 
-    FleetFault(Optional<ServerFault> fault, String argument, boolean sick) {
+    FleetFault(Optional<ServerFault> fault, String argument, boolean makesServerUnhealthy) {
         this.fault = fault;
         this.argument = argument;
-        this.sick = sick;
+        this.makesServerUnhealthy = makesServerUnhealthy;
     }
 
-    static Optional<FleetFault> named(String name) {
+    static Optional<FleetFault> withLabel(String name) {
         return Arrays.stream(values())
                 .filter(candidate -> candidate.label().equals(name))
                 .findFirst();
@@ -46,14 +46,14 @@
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Returns whether a server with the fault is to be ejected. */
+    /** Returns whether a server with the fault is expected to be ejected. */
     boolean makesServerUnhealthy() {
-        return sick;
+        return makesServerUnhealthy;
     }
 
-    void switchOn(BackendAdmin backends, String server) throws IOException, InterruptedException {
+    void injectInto(BackendAdmin backends, String server) throws IOException, InterruptedException {
         if (fault.isPresent()) {
-            backends.switchOn(server, fault.get(), argument);
+            backends.injectFault(server, fault.get(), argument);
         }
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetRow.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One row of the fleet measurement. */
+/** One row of the fleet measurement, printed as text and as a JSON line. */
 final class FleetRow {
     private static final double MILLIS_PER_HOUR = 3_600_000.0;
 
@@ -18,48 +18,48 @@
     private final String fault;
     private final String vmFault;
     private final int load;
-    private final Optional<Duration> workEnded;
-    private final boolean sick;
-    private final Optional<Duration> suspected;
-    private final Reports truths;
+    private final Optional<Duration> workEndedAfter;
+    private final boolean isServerUnhealthy;
+    private final Optional<Duration> suspectedAfter;
+    private final Reports reports;
     private final EjectionLog ejections;
-    private final String target;
-    private final Duration observed;
-    private final TicketFile objects;
+    private final String faultyServer;
+    private final Duration observedDuration;
+    private final TicketFile ticketFile;
 
     FleetRow(
             String customer,
             String fault,
             String vmFault,
             int load,
-            Optional<Duration> workEnded,
-            boolean sick,
-            Optional<Duration> suspected,
-            Reports truths,
+            Optional<Duration> workEndedAfter,
+            boolean isServerUnhealthy,
+            Optional<Duration> suspectedAfter,
+            Reports reports,
             EjectionLog ejections,
-            String target,
-            Duration observed,
-            TicketFile objects) {
+            String faultyServer,
+            Duration observedDuration,
+            TicketFile ticketFile) {
         this.customer = customer;
         this.fault = fault;
         this.vmFault = vmFault;
         this.load = load;
-        this.workEnded = workEnded;
-        this.sick = sick;
-        this.suspected = suspected;
-        this.truths = truths;
+        this.workEndedAfter = workEndedAfter;
+        this.isServerUnhealthy = isServerUnhealthy;
+        this.suspectedAfter = suspectedAfter;
+        this.reports = reports;
         this.ejections = ejections;
-        this.target = target;
-        this.observed = observed;
-        this.objects = objects;
+        this.faultyServer = faultyServer;
+        this.observedDuration = observedDuration;
+        this.ticketFile = ticketFile;
     }
 
     /**
-     * What callers were told.
+     * Summaries of the outcomes that callers received, over parts of the run.
      *
-     * @param whole over the whole run
-     * @param afterFault from the onset of the fault
-     * @param ofService from the onset of the fault, for the service of the faulty server
+     * @param whole the whole run
+     * @param afterFault the run from the onset of the fault
+     * @param ofService the run from the onset of the fault, for the service of the faulty server
      * @param refusals the errors from the onset of the fault
      */
     record Reports(
@@ -70,7 +70,7 @@
 
     /** Returns whether every promise was kept in the run. */
     boolean areGuaranteesKept() {
-        return truths.whole().isConsistent() && servicesBelowFloor().isEmpty();
+        return reports.whole().isConsistent() && servicesBelowFloor().isEmpty();
     }
 
     void print() {
@@ -84,46 +84,48 @@
                 load,
                 detection(),
                 falseEjectionsPerServerHour(),
-                100 * truths.afterFault().inTimeShare(),
-                100 * truths.ofService().inTimeShare(),
-                truths.refusals().refusalP50Millis(),
-                truths.refusals().refusalP99Millis(),
-                truths.refusals().byError());
+                100 * reports.afterFault().inTimeShare(),
+                100 * reports.ofService().inTimeShare(),
+                reports.refusals().refusalP50Millis(),
+                reports.refusals().refusalP99Millis(),
+                reports.refusals().byError());
         System.out.printf(
                 Locale.ROOT,
                 "%d calls, executed twice %d, not run yet run %d, answered yet not run %d, foreign or partial %d,"
                         + " unanswered %d, services below their floor %s%n",
-                truths.whole().calls(),
-                truths.whole().executedTwice(),
-                truths.whole().notRunYetRun(),
-                truths.whole().answeredYetNotRun(),
-                truths.whole().foreignOrPartial(),
-                truths.whole().unanswered(),
+                reports.whole().calls(),
+                reports.whole().executedTwice(),
+                reports.whole().notRunYetRun(),
+                reports.whole().answeredYetNotRun(),
+                reports.whole().foreignOrPartial(),
+                reports.whole().unanswered(),
                 servicesBelowFloor());
         System.out.println(json());
     }
 
     private String detection() {
-        if (!sick) {
+        if (!isServerUnhealthy) {
             return "-";
         }
-        return "suspected after " + millis(suspected) + ", no work beyond a trickle after " + millis(workEnded);
+        return "suspected after " + millis(suspectedAfter) + ", no work beyond a trickle after "
+                + millis(workEndedAfter);
     }
 
-    private static String millis(Optional<Duration> time) {
-        return time.map(known -> known.toMillis() + " ms").orElse("NEVER");
+    private static String millis(Optional<Duration> duration) {
+        return duration.map(value -> value.toMillis() + " ms").orElse("NEVER");
     }
 
     private double falseEjectionsPerServerHour() {
-        long count = ejections.ejectionsExcept(sick ? List.of(target) : List.of());
-        return count / (objects.servers().size() * observed.toMillis() / MILLIS_PER_HOUR);
+        long count = ejections.ejectionsExcept(isServerUnhealthy ? List.of(faultyServer) : List.of());
+        return count / (ticketFile.servers().size() * observedDuration.toMillis() / MILLIS_PER_HOUR);
     }
 
     private List<String> servicesBelowFloor() {
-        Map<String, Integer> most = ejections.mostEjected();
-        return objects.services().stream()
+        Map<String, Integer> maxEjected = ejections.maxEjectedByService();
+        return ticketFile.services().stream()
                 .filter(service ->
-                        objects.servers(service.name()).size() - most.getOrDefault(service.name(), 0) < service.floor())
+                        ticketFile.servers(service.name()).size() - maxEjected.getOrDefault(service.name(), 0)
+                                < service.floor())
                 .map(ServiceSpec::name)
                 .toList();
     }
@@ -131,19 +133,19 @@
     private ObjectNode json() {
         ObjectNode node = new ObjectMapper().createObjectNode();
         node.put("bench", "fleet").put("customer", customer).put("fault", fault).put("vmFault", vmFault);
-        node.put("load", load).put("calls", truths.whole().calls());
-        workEnded.ifPresent(time -> node.put("workEndedMillis", time.toMillis()));
-        suspected.ifPresent(time -> node.put("suspectedMillis", time.toMillis()));
+        node.put("load", load).put("calls", reports.whole().calls());
+        workEndedAfter.ifPresent(duration -> node.put("workEndedMillis", duration.toMillis()));
+        suspectedAfter.ifPresent(duration -> node.put("suspectedMillis", duration.toMillis()));
         node.put("falseEjectionsPerServerHour", falseEjectionsPerServerHour());
-        node.put("inTimeShare", truths.afterFault().inTimeShare());
-        node.put("inTimeShareOfService", truths.ofService().inTimeShare());
-        node.put("executedTwice", truths.whole().executedTwice());
-        node.put("notRunYetRun", truths.whole().notRunYetRun());
-        node.put("answeredYetNotRun", truths.whole().answeredYetNotRun());
-        node.put("foreignOrPartial", truths.whole().foreignOrPartial());
-        node.put("unanswered", truths.whole().unanswered());
-        node.put("refusalP50Millis", truths.refusals().refusalP50Millis());
-        node.put("refusalP99Millis", truths.refusals().refusalP99Millis());
+        node.put("inTimeShare", reports.afterFault().inTimeShare());
+        node.put("inTimeShareOfService", reports.ofService().inTimeShare());
+        node.put("executedTwice", reports.whole().executedTwice());
+        node.put("notRunYetRun", reports.whole().notRunYetRun());
+        node.put("answeredYetNotRun", reports.whole().answeredYetNotRun());
+        node.put("foreignOrPartial", reports.whole().foreignOrPartial());
+        node.put("unanswered", reports.whole().unanswered());
+        node.put("refusalP50Millis", reports.refusals().refusalP50Millis());
+        node.put("refusalP99Millis", reports.refusals().refusalP99Millis());
         node.put("servicesBelowFloor", servicesBelowFloor().size());
         return node;
     }
--- a/bench/src/main/java/io/coppershelf/bench/fleet/PlatformControl.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/PlatformControl.java
@@ -6,7 +6,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 
-/** Client of the control paths of the platform stand-in. */
+/** Client of the control interface of the platform stand-in. */
 public final class PlatformControl {
     private final HttpClient http = HttpClient.newHttpClient();
     private final URI base;
@@ -21,13 +21,13 @@
         post("/control/tickets", ticket);
     }
 
-    /** Publishes the list of VMs. */
+    /** Publishes a VM list. */
     public void publishVms(String vms) throws IOException, InterruptedException {
         post("/control/vms", vms);
     }
 
-    /** Switches a fault of the platform, {@code none} for none. */
-    public void switchFault(String fault) throws IOException, InterruptedException {
+    /** Sets the fault of the platform stand-in; {@code none} clears it. */
+    public void setFault(String fault) throws IOException, InterruptedException {
         post("/control/fault", fault);
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/fleet/TicketEdits.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/TicketEdits.java
@@ -7,7 +7,7 @@
 import io.coppershelf.ticket.TicketDocument;
 import java.util.List;
 
-/** Tickets that change one object. */
+/** Builds tickets that change one object. */
 public final class TicketEdits {
     private TicketEdits() {}
 
--- a/bench/src/main/java/io/coppershelf/bench/fleet/TicketFile.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/TicketFile.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The objects of a ticket in a file. */
+/** A ticket read from a file. */
 public final class TicketFile {
     private final Ticket ticket;
 
@@ -19,7 +19,7 @@
         this.ticket = ticket;
     }
 
-    /** Reads and checks the file. */
+    /** Reads and validates the file. */
     public static TicketFile read(Path file) throws IOException {
         return new TicketFile(TicketDocument.parse(Files.readString(file)));
     }
--- a/bench/src/main/java/io/coppershelf/bench/tickets/CuttableDaemon.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/CuttableDaemon.java
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Runs the daemon of the product with links that the bench can cut. */
+/** Runs the production daemon with a filter by which the bench can cut its links to other VMs. */
 @Command(name = "cuttable-daemon", description = "Runs a daemon whose links a file can cut")
 public final class CuttableDaemon {
     @Required
@@ -21,7 +21,7 @@
     @Option(name = "--cuts", description = "The file of cut links, read again and again")
     private String cuts = "";
 
-    /** Runs the daemon until it is told to end. */
+    /** Runs the daemon until the process is terminated. */
     public static void main(String[] args) throws InterruptedException {
         CuttableDaemon daemon =
                 SingleCommand.singleCommand(CuttableDaemon.class).parse(args);
--- a/bench/src/main/java/io/coppershelf/bench/tickets/InForceTimes.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/InForceTimes.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads from the time lines of the daemons when tickets came into force. */
+/** Reads the times at which tickets came into force from the time lines of the daemons. */
 final class InForceTimes {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -23,7 +23,10 @@
         this.operators = operators;
     }
 
-    /** Returns when the ticket came into force on each daemon on which it did, in milliseconds since 1970. */
+    /**
+     * Returns the times at which the ticket came into force, in milliseconds since 1970, one for each daemon on which
+     * it did.
+     */
     List<Long> of(long number) throws IOException, InterruptedException {
         List<Long> times = new ArrayList<>();
         for (URI operator : operators) {
@@ -43,7 +46,8 @@
     private List<StampedEvent> events(URI operator) throws IOException, InterruptedException {
         HttpRequest request =
                 HttpRequest.newBuilder(operator.resolve("/timeline?after=0")).build();
-        String text = http.send(request, HttpResponse.BodyHandlers.ofString()).body();
-        return TimelineDocument.fromJson(JSON.readTree(text)).events();
+        String document =
+                http.send(request, HttpResponse.BodyHandlers.ofString()).body();
+        return TimelineDocument.fromJson(JSON.readTree(document)).events();
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/tickets/LinkCuts.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/LinkCuts.java
@@ -13,11 +13,12 @@
 import java.util.Set;
 
 /**
- * Cuts links between VMs as a file says that the bench rewrites: on each line the senders, {@code >} and the receivers
- * of the messages that are lost, ids with commas.
+ * Drops messages between VMs according to a file that the bench rewrites while the daemon runs. Each line names the
+ * senders, then {@code >}, then the receivers of the dropped messages; VM ids are separated by commas. No message is
+ * dropped while the file can't be read.
  */
 final class LinkCuts implements Component, LinkFilter {
-    private static final Duration READ_INTERVAL = Duration.ofMillis(100);
+    private static final Duration RELOAD_INTERVAL = Duration.ofMillis(100);
 
     private final Path file;
     private volatile List<Cut> cuts = List.of();
@@ -28,7 +29,7 @@
 
     @Override
     public boolean passes(String from, String to) {
-        return cuts.stream().noneMatch(cut -> cut.from.contains(from) && cut.to.contains(to));
+        return cuts.stream().noneMatch(cut -> cut.senders.contains(from) && cut.receivers.contains(to));
     }
 
     @Override
@@ -43,30 +44,30 @@
 
     @Override
     public void start(ComponentRegistry registry) {
-        registry.require(ControlThread.NAME).every(READ_INTERVAL, this::read);
+        registry.require(ControlThread.NAME).every(RELOAD_INTERVAL, this::reload);
     }
 
     @Override
     public void stop(Duration limit) {}
 
-    private void read() {
+    private void reload() {
         try {
-            List<Cut> read = new ArrayList<>();
+            List<Cut> parsed = new ArrayList<>();
             for (String line : Files.readAllLines(file)) {
                 int arrow = line.indexOf('>');
                 if (arrow > 0) {
-                    read.add(new Cut(ids(line.substring(0, arrow)), ids(line.substring(arrow + 1))));
+                    parsed.add(new Cut(parseIds(line.substring(0, arrow)), parseIds(line.substring(arrow + 1))));
                 }
             }
-            cuts = List.copyOf(read);
+            cuts = List.copyOf(parsed);
         } catch (IOException e) {
             cuts = List.of();
         }
     }
 
-    private static Set<String> ids(String list) {
+    private static Set<String> parseIds(String list) {
         return Set.of(list.strip().split(","));
     }
 
-    private record Cut(Set<String> from, Set<String> to) {}
+    private record Cut(Set<String> senders, Set<String> receivers) {}
 }
--- a/bench/src/main/java/io/coppershelf/bench/tickets/SpreadRow.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/SpreadRow.java
@@ -4,18 +4,18 @@
 import java.util.Locale;
 
 /**
- * The times that tickets took to come into force, under one fault.
+ * The times that tickets took to come into force on the daemons, under one fault.
  *
  * @param name the fault
  * @param tickets the number of tickets published
- * @param expected the number of times that a ticket should have come into force on a daemon
- * @param millis the time of each ticket on each daemon on which it came into force
+ * @param expected the number of times if every ticket had come into force on every daemon
+ * @param millis the time in milliseconds for each ticket and each daemon on which it came into force
  */
 record SpreadRow(String name, int tickets, int expected, long[] millis) {
     static final String HEADER = String.format(
             Locale.ROOT, "%-40s %8s %9s %9s %9s %9s", "fault", "tickets", "median ms", "p95 ms", "worst ms", "missing");
     private static final double MEDIAN = 0.5;
-    private static final double NINETY_FIVE = 0.95;
+    private static final double P95 = 0.95;
 
     String toText() {
         return String.format(
@@ -24,7 +24,7 @@
                 name,
                 tickets,
                 quantile(MEDIAN),
-                quantile(NINETY_FIVE),
+                quantile(P95),
                 quantile(1),
                 missing());
     }
@@ -37,7 +37,7 @@
                 name,
                 tickets,
                 quantile(MEDIAN),
-                quantile(NINETY_FIVE),
+                quantile(P95),
                 quantile(1),
                 missing());
     }
@@ -46,12 +46,12 @@
         return expected - millis.length;
     }
 
-    private long quantile(double part) {
+    private long quantile(double fraction) {
         if (millis.length == 0) {
             return -1;
         }
         long[] sorted = millis.clone();
         Arrays.sort(sorted);
-        return sorted[(int) Math.ceil(part * sorted.length) - 1];
+        return sorted[(int) Math.ceil(fraction * sorted.length) - 1];
     }
 }
--- a/bench/src/main/java/io/coppershelf/bench/tickets/TicketsBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/tickets/TicketsBench.java
@@ -17,12 +17,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Publishes tickets under each fault and prints how long they took to come into force on all daemons. */
+/** Publishes tickets under each fault and prints how long they took to come into force on the daemons. */
 @Command(name = "tickets", description = "Measures the spread time of tickets")
 public final class TicketsBench {
-    private static final Duration TICKET_LIMIT = Duration.ofSeconds(30);
-    private static final Duration SETTLING = Duration.ofSeconds(15);
-    private static final Duration BETWEEN_TICKETS = Duration.ofMillis(500);
+    private static final Duration TICKET_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration CUT_SETTLING_TIME = Duration.ofSeconds(15);
+    private static final Duration TICKET_INTERVAL = Duration.ofMillis(500);
     private static final Duration PLATFORM_RECOVERY = Duration.ofSeconds(6);
 
     @Required
@@ -57,10 +57,10 @@
 
     private void run() throws IOException, InterruptedException {
         List<SpreadRow> rows = new ArrayList<>();
-        rows.add(row("none", "", "none", BETWEEN_TICKETS));
+        rows.add(row("none", "", "none", TICKET_INTERVAL));
         rows.add(row("platform down after the first reader", "", "down-after-reader", PLATFORM_RECOVERY));
-        rows.add(row("one data centre hears no other", outside + ">" + inside, "none", BETWEEN_TICKETS));
-        rows.add(row("one data centre is heard by no other", inside + ">" + outside, "none", BETWEEN_TICKETS));
+        rows.add(row("one data centre hears no other", outside + ">" + inside, "none", TICKET_INTERVAL));
+        rows.add(row("one data centre is heard by no other", inside + ">" + outside, "none", TICKET_INTERVAL));
         System.out.println(SpreadRow.HEADER);
         rows.forEach(row -> System.out.println(row.toText()));
         rows.forEach(row -> System.out.println(row.toJson()));
@@ -70,7 +70,7 @@
             throws IOException, InterruptedException {
         Files.writeString(Path.of(cuts), cut + "\n");
         if (!cut.isEmpty()) {
-            LockSupport.parkNanos(SETTLING.toNanos());
+            LockSupport.parkNanos(CUT_SETTLING_TIME.toNanos());
         }
         List<URI> daemons = Arrays.stream(operators.split(","))
                 .map(address -> URI.create("http://" + address))
@@ -85,23 +85,23 @@
         return new SpreadRow(name, tickets, tickets * daemons.size(), times);
     }
 
-    /** Publishes one ticket and returns the times that it took, of the daemons on which it came into force. */
+    /** Publishes one ticket and returns how long it took to come into force, for each daemon on which it did. */
     private List<Long> publish(List<URI> daemons, String platformFault) throws IOException, InterruptedException {
         PlatformControl control = new PlatformControl(URI.create(platform));
-        control.switchFault(platformFault);
+        control.setFault(platformFault);
         long number = ++lastNumber;
-        long began = System.currentTimeMillis();
+        long publishedAtMillis = System.currentTimeMillis();
         control.publish("{\"ticket\": " + number + ", \"services\": {\"spread\": {\"floor\": " + number
                 + ", \"detectionWeight\": 0.5}}}");
         awaitAll(daemons, number);
-        control.switchFault("none");
+        control.setFault("none");
         return new InForceTimes(daemons)
-                .of(number).stream().map(time -> time - began).toList();
+                .of(number).stream().map(time -> time - publishedAtMillis).toList();
     }
 
     private static void awaitAll(List<URI> daemons, long number) throws InterruptedException {
         try {
-            new DaemonStatus(daemons).awaitTicket(number, System.nanoTime(), TICKET_LIMIT);
+            new DaemonStatus(daemons).awaitTicket(number, System.nanoTime(), TICKET_TIMEOUT);
         } catch (IOException e) {
             System.err.println(e.getMessage());
             LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1));
