--- a/bench/src/main/java/io/coppershelf/bench/backend/BackendServerStandIn.java
+++ b/bench/src/main/java/io/coppershelf/bench/backend/BackendServerStandIn.java
@@ -59,8 +59,8 @@
         http.stop(0);
     }
 
-    void setFault(Optional<ActiveFault> next) {
-        fault = next;
+    void setFault(Optional<ActiveFault> newFault) {
+        fault = newFault;
         timer.execute(this::runWaiting);
     }
 
--- a/bench/src/main/java/io/coppershelf/bench/fleet/ArrivalLog.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/ArrivalLog.java
@@ -37,7 +37,7 @@
      * Returns how long the server kept receiving work: the first time after which it received no more in the following
      * window than a server in probation does. Empty if there is no such time.
      */
-    Optional<Duration> workEnded() {
+    Optional<Duration> workEndedAfter() {
         Duration lastSampleAt = samples.get(samples.size() - 1).at();
         return samples.stream()
                 .filter(sample -> sample.at().plus(QUIET_WINDOW).compareTo(lastSampleAt) <= 0)
--- a/bench/src/main/java/io/coppershelf/bench/fleet/DaemonStatus.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/DaemonStatus.java
@@ -40,7 +40,9 @@
     /**
      * Waits until the ticket is in force on all daemons.
      *
+     * @param number the number of the ticket
      * @param sinceNanos the {@link System#nanoTime()} at which it was published
+     * @param timeout how long to wait after the publication
      * @return the time from publication until the ticket was in force, for each daemon
      * @throws IOException if it takes longer than the timeout
      */
--- a/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
+++ b/bench/src/main/java/io/coppershelf/bench/fleet/FleetBench.java
@@ -87,7 +87,7 @@
                 injectedFault.label(),
                 vmFault,
                 load,
-                injectedFault.makesServerUnhealthy() ? arrivals.workEnded() : Optional.empty(),
+                injectedFault.makesServerUnhealthy() ? arrivals.workEndedAfter() : Optional.empty(),
                 injectedFault.makesServerUnhealthy(),
                 injectedFault.makesServerUnhealthy()
                         ? ejections.suspectedAfter(faultyServer.name(), onsetMillis)
